--- a/src/front/server.cpp
+++ b/src/api/server.cpp
@@ -1,4 +1,4 @@
-#include "front/server.hpp"
+#include "api/server.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -12,7 +12,7 @@
 #include <optional>
 #include <utility>
 
-namespace wellstair::front {
+namespace wellstair::api {
 
 namespace beast = boost::beast;
 namespace http = beast::http;
@@ -33,7 +33,7 @@
 constexpr auto kIdle = std::chrono::seconds(120);
 constexpr int kBacklog = 4096;  // all machines may come at once, after all controllers were down
 constexpr auto kTransfer = std::chrono::seconds(10);
-constexpr std::string_view kRuns = "/v2/runs", kCheckin = "/checkin";
+constexpr std::string_view kRuns = "/v2/runs", kHeartbeatPath = "/checkin";
 }  // namespace
 
 struct Server::Connection {
@@ -44,9 +44,9 @@
     std::optional<std::list<Connection*>::iterator> place;  // in waiting_
 };
 
-Server::Server(asio::io_context& io, const app::Endpoint& endpoint, std::size_t most, double workerIdleS,
+Server::Server(asio::io_context& io, const config::Endpoint& endpoint, std::size_t most, double workerIdleS,
                Handlers handlers)
-    : io_(io), acceptor_(io), workerIdleS_(workerIdleS), handlers_(std::move(handlers)), lots_(most) {
+    : io_(io), acceptor_(io), workerIdleS_(workerIdleS), handlers_(std::move(handlers)), quota_(most) {
     tcp::endpoint at(asio::ip::make_address_v4(endpoint.host), endpoint.port);
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
@@ -70,7 +70,7 @@
 
 void Server::release(Connection& c) {
     end_wait(c);
-    if (std::exchange(c.counted, false)) lots_.give(c.caller);
+    if (std::exchange(c.counted, false)) quota_.release_one(c.caller);
 }
 
 asio::awaitable<void> Server::accept() {
@@ -83,8 +83,8 @@
         // Beyond the limit the connection that has been idle for longest is closed, of workers or of users, whoever has
         // more than its part: with one controller left for all machines, they must not shut the users out, nor users
         // them, and the sockets that we need for the state service and for commands stay free.
-        if (lots_.full()) {
-            auto& idle = waiting_[lots_.over()];
+        if (quota_.full()) {
+            auto& idle = waiting_[quota_.over_quota()];
             if (idle.empty()) continue;  // all are busy: the new one is closed, and its caller goes elsewhere
             Connection& oldest = *idle.front();
             release(oldest);
@@ -97,7 +97,7 @@
 asio::awaitable<void> Server::serve(tcp::socket socket) {
     Connection c(std::move(socket));
     beast::tcp_stream& stream = c.stream;
-    lots_.take(c.caller);
+    quota_.acquire(c.caller);
     beast::error_code ignored;
     stream.socket().set_option(tcp::no_delay(true), ignored);
     beast::flat_buffer buffer(2 * wire::kBodyLimit);
@@ -128,9 +128,9 @@
             auto& req = parser.get();
             keep = req.keep_alive();
             version = req.version();
-            Caller caller = req.target() == kCheckin ? Caller::worker : Caller::user;
-            lots_.give(std::exchange(c.caller, caller));
-            lots_.take(caller);
+            Caller caller = req.target() == kHeartbeatPath ? Caller::worker : Caller::user;
+            quota_.release_one(std::exchange(c.caller, caller));
+            quota_.acquire(caller);
             response =
                 co_await route(std::string(req.method_string()), std::string(req.target()), std::move(req.body()));
         }
@@ -158,9 +158,9 @@
         if (method != "GET") co_return wrong("GET");
         co_return health(handlers_.healthy());
     }
-    if (path == kCheckin) {
+    if (path == kHeartbeatPath) {
         if (method != "POST") co_return wrong("POST");
-        co_return co_await handlers_.checkin(std::move(body));
+        co_return co_await handlers_.heartbeat(std::move(body));
     }
     if (path == kRuns) {
         if (method != "POST") co_return wrong("POST");
@@ -176,10 +176,10 @@
         }
         if (rest.substr(slash + 1) == "withdraw") {
             if (method != "POST") co_return wrong("POST");
-            co_return co_await handlers_.withdraw(std::move(id));
+            co_return co_await handlers_.cancel(std::move(id));
         }
     }
     co_return refusal(404, "no such path");
 }
 
-}  // namespace wellstair::front
+}  // namespace wellstair::api
--- a/src/front/server.hpp
+++ b/src/api/server.hpp
@@ -6,11 +6,11 @@
 #include <list>
 #include <map>
 
-#include "front/lots.hpp"
+#include "api/connection_quota.hpp"
 #include "net/http.hpp"
 #include "wire/codec.hpp"
 
-namespace wellstair::front {
+namespace wellstair::api {
 
 namespace asio = boost::asio;
 
@@ -22,15 +22,15 @@
 };
 
 struct Handlers {
-    std::function<asio::awaitable<Response>(std::string body)> submit, checkin;
-    std::function<asio::awaitable<Response>(std::string id)> poll, withdraw;
+    std::function<asio::awaitable<Response>(std::string body)> submit, heartbeat;
+    std::function<asio::awaitable<Response>(std::string id)> poll, cancel;
     std::function<bool()> healthy;
 };
 
 class Server {
   public:
     // `workerIdleS`: a worker's connection that has been quiet for so long is dead.
-    Server(asio::io_context& io, const app::Endpoint& endpoint, std::size_t mostConnections, double workerIdleS,
+    Server(asio::io_context& io, const config::Endpoint& endpoint, std::size_t mostConnections, double workerIdleS,
            Handlers handlers);
     void start();
 
@@ -47,8 +47,8 @@
     asio::ip::tcp::acceptor acceptor_;
     double workerIdleS_;
     Handlers handlers_;
-    Lots lots_;
+    ConnectionQuota quota_;
     std::map<Caller, std::list<Connection*>> waiting_;  // for a request, longest first
 };
 
-}  // namespace wellstair::front
+}  // namespace wellstair::api
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 #include "controller/service.hpp"
 
 using namespace wellstair;
@@ -55,10 +55,10 @@
     }
     using Mode = placement::Weights::Mode;
     tunables.mode = mode == "eft" ? Mode::eft : mode == "lea" ? Mode::lea : Mode::mixed;
-    app::Settings settings;
+    config::Settings settings;
     try {
-        settings = app::load_settings(config);
-    } catch (const app::SettingsError& e) {
+        settings = config::load_settings(config);
+    } catch (const config::SettingsError& e) {
         std::cerr << e.what() << "\n";
         return 2;
     }
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -9,7 +9,7 @@
 constexpr double kShare = 0.6;   // of the cloud's rate: a successor in the role may already be calling, too
 }  // namespace
 
-Client::Client(asio::io_context& io, const app::Settings& s)
+Client::Client(asio::io_context& io, const config::Settings& s)
     : io_(io), http_(io, s.cloud), spacingS_(1 / (kShare * s.cloudRps)) {}
 
 asio::awaitable<net::Reply> Client::call(net::verb method, std::string target, std::string body) {
@@ -36,13 +36,13 @@
     co_return out;
 }
 
-asio::awaitable<RentResult> Client::rent(std::string ask, std::string build, std::string hall, bool loaner,
+asio::awaitable<RentResult> Client::rent(std::string requestName, std::string machineType, std::string zone, bool spot,
                                          std::uint32_t number) {
     Json body;
-    body["ask"] = ask;
-    body["build"] = build;
-    body["hall"] = hall;
-    body["loaners"] = loaner;
+    body["ask"] = requestName;
+    body["build"] = machineType;
+    body["hall"] = zone;
+    body["loaners"] = spot;
     body["number"] = number;
     RentResult out;
     net::Reply r = co_await call(net::verb::post, "/machines", wire::encode(body));
@@ -59,7 +59,7 @@
     co_return out;
 }
 
-asio::awaitable<bool> Client::give_back(std::vector<std::string> hosts) {
+asio::awaitable<bool> Client::return_hosts(std::vector<std::string> hosts) {
     Json body;
     body["hosts"] = std::move(hosts);
     net::Reply r = co_await call(net::verb::post, "/machines/return", wire::encode(body));
@@ -79,7 +79,7 @@
         if (!hosts) co_return std::nullopt;
         for (const Json& e : *hosts)
             if (auto m = wire::parse_machine(e)) {
-                since = m->ref;
+                since = m->name;
                 out.push_back(std::move(*m));
             }
         if (!wire::flag(*body, "hasNext").value_or(false) || hosts->empty()) break;
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -17,12 +17,12 @@
 
 class Client {
   public:
-    Client(asio::io_context& io, const app::Settings& settings);
+    Client(asio::io_context& io, const config::Settings& settings);
     asio::awaitable<std::optional<std::vector<wire::MachineType>>> types();
     // `ask` is never used again for another request; repeated with the same contents when no answer came.
-    asio::awaitable<RentResult> rent(std::string ask, std::string build, std::string hall, bool loaner,
+    asio::awaitable<RentResult> rent(std::string requestName, std::string machineType, std::string zone, bool spot,
                                      std::uint32_t number);
-    asio::awaitable<bool> give_back(std::vector<std::string> hosts);
+    asio::awaitable<bool> return_hosts(std::vector<std::string> hosts);
     asio::awaitable<std::optional<std::vector<wire::Machine>>> list();
 
   private:
--- a/src/app/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,4 @@
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 
 #include <toml++/toml.h>
 
@@ -7,7 +7,7 @@
 #include <charconv>
 #include <set>
 
-namespace wellstair::app {
+namespace wellstair::config {
 namespace {
 
 class Reader {
@@ -93,7 +93,7 @@
     if (!nextState) return limits;
     limits.valueKb = std::min(limits.valueKb, nextState->valueKb);
     limits.writeRps = std::min(limits.writeRps, nextState->writeRps);
-    limits.txnOps = std::min(limits.txnOps, nextState->txnOps);
+    limits.transactionOperations = std::min(limits.transactionOperations, nextState->transactionOperations);
     return limits;
 }
 
@@ -101,11 +101,12 @@
 
 // A transaction that places tasks changes a chunk, the team's parts, the placer and, of tasks bound to one another, the
 // job's record.
-constexpr int kLeastTxnOps = 4;
+constexpr int kLeastTransactionOperations = 4;
 
 int transaction_operations(const Reader& r, const toml::table& t, const std::string& where) {
     int operations = r.whole(t, where, "txn_ops");
-    if (operations < kLeastTxnOps) r.fail(where + "txn_ops", "an integer of at least " + std::to_string(kLeastTxnOps));
+    if (operations < kLeastTransactionOperations)
+        r.fail(where + "txn_ops", "an integer of at least " + std::to_string(kLeastTransactionOperations));
     return operations;
 }
 
@@ -115,9 +116,9 @@
     StateLimits next = now;
     if (t.contains("value_kb")) next.valueKb = r.number(t, where, "value_kb", 0, true);
     if (t.contains("write_rps")) next.writeRps = r.number(t, where, "write_rps", 0, true);
-    if (t.contains("txn_ops")) next.txnOps = transaction_operations(r, t, where);
+    if (t.contains("txn_ops")) next.transactionOperations = transaction_operations(r, t, where);
     // The largest value that is stored has to be divided in one transaction.
-    if (next.valueKb * next.txnOps < now.valueKb)
+    if (next.valueKb * next.transactionOperations < now.valueKb)
         r.fail(where + "value_kb", "at least state.value_kb divided by state.next.txn_ops");
     return next;
 }
@@ -171,7 +172,7 @@
     }
     const auto& w = r.table(d, "deployment.", "workers");
     const std::string ww = "deployment.workers.";
-    s.reportS = r.number(w, ww, "report_s", 0, true);
+    s.heartbeatIntervalS = r.number(w, ww, "report_s", 0, true);
     s.leaseS = r.number(w, ww, "lease_s", 0, true);
     s.gangWaitS = r.number(w, ww, "gang_wait_s", 0, true);
     s.gangPeerS = r.number(w, ww, "gang_peer_s", 0, true);
@@ -181,7 +182,7 @@
     s.stateRps = r.number(st, sw, "rps", 0, true);
     s.stateWriteRps = r.number(st, sw, "write_rps", 0, true);
     s.valueKb = r.number(st, sw, "value_kb", 0, true);
-    s.txnOps = transaction_operations(r, st, sw);
+    s.transactionOperations = transaction_operations(r, st, sw);
     if (st.contains("next")) s.nextState = next_limits(r, r.table(st, sw, "next"), s.state_limits());
     const auto& c = r.table(d, "deployment.", "cloud");
     s.cloudRps = r.number(c, "deployment.cloud.", "rps", 0, true);
@@ -193,4 +194,4 @@
     return s;
 }
 
-}  // namespace wellstair::app
+}  // namespace wellstair::config
--- a/src/app/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,4 @@
-// The settings file that the platform hands over, checked field by field. Unknown fields are ignored.
+// The settings file that the platform transfer, checked field by field. Unknown fields are ignored.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace wellstair::app {
+namespace wellstair::config {
 
 struct Endpoint {
     std::string host;
@@ -27,17 +27,17 @@
 
 // What users expect of a class of jobs. Only guides the order under overload.
 struct Objective {
-    std::string kind, lane;
+    std::string kind, jobClass;
     double withinS = 0, times = 0;
 };
 
 // What the state service takes.
 struct StateLimits {
     double valueKb = 0, writeRps = 0;
-    int txnOps = 0;
+    int transactionOperations = 0;
 
     std::size_t value_bytes() const { return static_cast<std::size_t>(valueKb * 1024); }
-    int conditions() const { return kConditionsPerOperation * txnOps; }
+    int conditions() const { return kConditionsPerOperation * transactionOperations; }
     bool operator==(const StateLimits&) const = default;
 
     static constexpr int kConditionsPerOperation = 4;
@@ -51,9 +51,9 @@
     double skewS = 0;
     std::vector<Team> teams;
     std::vector<Objective> objectives;
-    double reportS = 0, leaseS = 0, gangWaitS = 0, gangPeerS = 0, cancelS = 0;
+    double heartbeatIntervalS = 0, leaseS = 0, gangWaitS = 0, gangPeerS = 0, cancelS = 0;
     double stateRps = 0, stateWriteRps = 0, valueKb = 0;
-    int txnOps = 0;
+    int transactionOperations = 0;
     // The limits that the state service will have from some moment on, announced by `state.next`.
     std::optional<StateLimits> nextState;
     double cloudRps = 0, listLagS = 0;
@@ -62,7 +62,7 @@
 
     int size() const { return static_cast<int>(members.size()) + 1; }
     const Team* team(const std::string& name) const;
-    StateLimits state_limits() const { return {valueKb, stateWriteRps, txnOps}; }
+    StateLimits state_limits() const { return {valueKb, stateWriteRps, transactionOperations}; }
     // What holds now and after the announced change alike.
     StateLimits lowest_state_limits() const;
 };
@@ -74,4 +74,4 @@
 
 Settings load_settings(const std::string& path);
 
-}  // namespace wellstair::app
+}  // namespace wellstair::config
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -1,7 +1,7 @@
-// Every decision of a controller, free of I/O: reports, requests and the watch come in, transactions, orders and
+// Every decision of a controller, free of I/O: heartbeats, requests and the watch come in, transactions, commands and
 // answers go out. Time is passed in, so that kept traces replay on a virtual clock.
 //
-// It works by levels, not edges: each round compares what the state service holds with what the machines report and
+// It works by levels, not edges: each round compares what the state service holds with what the machines heartbeat and
 // proposes the next transaction. Whatever was lost, late or done by somebody else shows in the next comparison.
 #pragma once
 
@@ -10,20 +10,20 @@
 #include <unordered_map>
 #include <variant>
 
-#include "app/settings.hpp"
-#include "controller/checkin_statistics.hpp"
-#include "controller/draft.hpp"
-#include "model/host.hpp"
-#include "model/view.hpp"
+#include "config/settings.hpp"
+#include "controller/heartbeat_statistics.hpp"
 #include "peers/packet.hpp"
 #include "placement/lem.hpp"
 #include "placement/overload.hpp"
-#include "placement/rental.hpp"
 #include "placement/room.hpp"
+#include "placement/scale_out.hpp"
+#include "state/state_cache.hpp"
+#include "state/transaction_builder.hpp"
+#include "workers/host_tracker.hpp"
 
 namespace wellstair::controller {
 
-struct Moment {
+struct Timestamp {
     double steady = 0;  // seconds on the steady clock
     double wall = 0;    // time of day, seconds
 };
@@ -42,41 +42,41 @@
 };
 
 struct Admission {
-    enum Kind { kept, claim, redirect, refuse } kind = refuse;
-    std::string foreman;
+    enum Kind { kept, acquire, redirect, refuse } kind = refuse;
+    std::string leader;
 };
 
-// What a worker's report is answered with.
-struct CheckinAnswer {
+// What a worker's heartbeat is answered with.
+struct HeartbeatResponse {
     enum Kind {
-        renewed,   // 200: the worker's lease is renewed, and counted here
-        claiming,  // the machine's registration is on its way to the state service: ask again
-        redirect,  // 421: another controller keeps it
-        refuse,    // 503
+        renewed,    // 200: the worker's lease is renewed, and counted here
+        acquiring,  // the machine's registration is on its way to the state service: ask again
+        redirect,   // 421: another controller keeps it
+        refuse,     // 503
     } kind = refuse;
-    std::string keeper;       // redirect: whom it should report to
+    std::string leader;       // redirect: whom it should heartbeat to
     std::uint64_t token = 0;  // renewed: the fencing token
-    std::vector<wire::Order> orders;
+    std::vector<wire::Command> commands;
 };
 
-struct RentalOrder {
-    std::string build, hall;
-    bool loaner = false;
+struct ScaleOutRequest {
+    std::string machineType, zone;
+    bool spot = false;
     std::uint32_t number = 0;
 };
 
 class Core {
   public:
-    Core(const app::Settings& settings, Tunables tunables, std::uint64_t incarnation);
+    Core(const config::Settings& settings, Tunables tunables, std::uint64_t incarnation);
 
-    // --- the picture of the state service
-    model::View& view() { return *view_; }
-    void reset_view();  // the watch lost its place: everything is read again
-    void set_view_ready(bool ready) { viewReady_ = ready; }
-    bool view_ready() const { return viewReady_; }
-    std::uint64_t member_stamp() const;  // 0: this incarnation is not registered
-    void set_member_state(model::MemberState s, Moment now);
-    model::MemberState member_state() const { return member_; }
+    // --- the cached state
+    state::StateCache& state() { return *state_; }
+    void reset_state();  // the watch lost its place: everything is read again
+    void set_state_ready(bool ready) { stateReady_ = ready; }
+    bool state_ready() const { return stateReady_; }
+    std::uint64_t member_revision() const;  // 0: this incarnation is not registered
+    void set_availability(state::Availability s, Timestamp now);
+    state::Availability availability() const { return availability_; }
     std::uint64_t incarnation() const { return incarnation_; }
 
     // --- users
@@ -87,199 +87,203 @@
     std::optional<std::string> never_runs(const wire::JobSpec& spec, bool& unsure) const;
 
     // --- workers
-    // Answers a worker's report. The only place that grants an answer of 200, which renews the worker's lease, and
+    // Answers a worker's heartbeat. The only place that grants an answer of 200, which renews the worker's lease, and
     // counts that lease from the same moment.
-    CheckinAnswer check_in(const wire::Report& r, Moment now);
-    // The report that a command was answered with: it tells what is on the machine and renews nothing.
-    void take_command_reply(const wire::Report& r, Moment now);
-    std::vector<wire::Order> orders(const std::string& host, bool byCommand, Moment now);
-    // Orders that should go out now rather than with their hosts' next reports.
-    std::vector<std::pair<std::string, std::vector<wire::Order>>> commands_due(Moment now);
-    void commands_sent(const std::string& host, const std::vector<wire::Order>& orders, Moment now);
-    void commands_answered(const std::string& host, const std::vector<wire::Order>& orders, bool answered,
-                           std::uint64_t baton);
-    CheckinStatistics& checkin_statistics() { return checkinStatistics_; }
+    HeartbeatResponse handle_heartbeat(const wire::Heartbeat& r, Timestamp now);
+    // The heartbeat that a command was answered with: it tells what is on the machine and renews nothing.
+    void handle_command_reply(const wire::Heartbeat& r, Timestamp now);
+    std::vector<wire::Command> commands_for(const std::string& host, bool byCommand, Timestamp now);
+    // Commands that should go out now rather than with their hosts' next heartbeats.
+    std::vector<std::pair<std::string, std::vector<wire::Command>>> commands_due(Timestamp now);
+    void commands_sent(const std::string& host, const std::vector<wire::Command>& commands, Timestamp now);
+    void commands_answered(const std::string& host, const std::vector<wire::Command>& commands, bool answered,
+                           std::uint64_t fencingToken);
+    HeartbeatStatistics& heartbeat_statistics() { return heartbeatStatistics_; }
     // Asks the next round to register the machine here.
-    void note_claim(const wire::Report& r);
-    model::HostNotes* notes(const std::string& host);
+    void request_acquisition(const wire::Heartbeat& r);
+    workers::HostTracker* tracker(const std::string& host);
 
     // --- rounds
     // The next transaction of this controller, empty if there is nothing to do.
-    Draft round(Moment now);
-    bool tick(Moment now);  // time alone changes things: silent and expired hosts
-    bool dirty() const { return dirty_; }
-    void touch() { dirty_ = true; }
-    void touch_all() { dirty_ = planDue_ = true; }  // a transaction did not apply: propose it all again
-    Draft new_draft();
+    state::TransactionBuilder round(Timestamp now);
+    bool advance_time(Timestamp now);  // time alone changes things: silent and expired hosts
+    bool round_due() const { return roundDue_; }
+    void request_round() { roundDue_ = true; }
+    void request_replan() { roundDue_ = planDue_ = true; }  // a transaction did not apply: propose it all again
+    state::TransactionBuilder new_transaction();
     // What transactions keep to: the present limits of the state service, or the lower of these and the announced ones.
-    app::StateLimits state_limits() const;
+    config::StateLimits state_limits() const;
     // The state service refused a transaction as malformed: the announced limits may hold already, and what it wrote is
     // left alone for a while, so that nothing else waits for it.
-    void note_malformed(const std::vector<std::string>& keys, Moment now);
+    void handle_rejected_transaction(const std::vector<std::string>& keys, Timestamp now);
     // What a registration under this process's lease says.
-    model::MemberData member_data() const;
+    state::MemberData member_data() const;
     // The layout of the stored keys that this process's settings lead to.
-    model::LayoutRecord own_layout() const;
+    state::LayoutRecord own_layout() const;
 
     // --- cloud (the holder of the role)
     // This process holds it. One of the same name that has ended holds it until its lease ends: this one takes it over.
     bool holds_cloud_role() const {
-        return view_->cloud_role() == settings_.member && view_->cloud_role_incarnation() == incarnation_;
+        return state_->cloud_role() == settings_.member && state_->cloud_role_incarnation() == incarnation_;
     }
     bool may_take_cloud_role() const {
-        return !view_->cloud_role_stamp() || (view_->cloud_role() == settings_.member && !holds_cloud_role());
+        return !state_->cloud_role_revision() || (state_->cloud_role() == settings_.member && !holds_cloud_role());
     }
-    bool take_cloud_role(Draft& draft, std::uint64_t hold) const;
+    bool take_cloud_role(state::TransactionBuilder& builder, std::uint64_t leaseId) const;
     // Asked before each call: the role lasts as long as the member's lease, which may end while a call is under way.
-    bool may_call_cloud() const { return member_ == model::MemberState::live && member_stamp() && holds_cloud_role(); }
-    struct CloudView {
+    bool may_call_cloud() const {
+        return availability_ == state::Availability::serving && member_revision() && holds_cloud_role();
+    }
+    struct MachineList {
         std::vector<wire::Machine> machines;
         double atS = -1e9;
     };
-    void set_machines(std::vector<wire::Machine> machines, Moment now);
-    void plan_rentals(Moment now);  // once for a series of calls
-    std::vector<RentalOrder> rentals(Moment now);
-    void rented(const RentalOrder& order, const std::vector<std::string>& hosts, Moment now);
-    void refused(const RentalOrder& order, Moment now);
-    std::vector<std::string> returns_due(Moment now);  // marked: to be returned now
+    void set_machines(std::vector<wire::Machine> machines, Timestamp now);
+    void plan_scale_out(Timestamp now);  // once for a series of calls
+    std::vector<ScaleOutRequest> scale_out_requests(Timestamp now);
+    void rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now);
+    void refused(const ScaleOutRequest& order, Timestamp now);
+    std::vector<std::string> scale_in_due(Timestamp now);  // marked: to be returned now
     // Marks machines for return: surplus, failed, faulty or lost ones.
-    void propose_returns(Draft& draft, Moment now);
-    void mark_gone(Draft& draft, const std::vector<std::string>& hosts, Moment now);
+    void propose_scale_in(state::TransactionBuilder& builder, Timestamp now);
+    void mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now);
 
     // --- peers
-    void set_hint(const peers::Hint& hint, Moment now);
-    peers::Hint own_hint(double storeAgeS, Moment now) const;
-    bool peer_has_store(Moment now) const;
+    void set_peer_status(const peers::PeerStatus& peerStatus, Timestamp now);
+    peers::PeerStatus own_peer_status(double storeAgeS, Timestamp now) const;
+    bool peer_has_store(Timestamp now) const;
     // All cancellations that are confirmed, as far as this controller knows: the store's, those that it has confirmed
     // to users itself, and those that the others told of.
     std::vector<std::string> cancellations() const;
-    void note_cancelled(const std::vector<std::string>& ids);
+    void record_cancellations(const std::vector<std::string>& ids);
     // The processes of all other controllers, by the last read; without those that are not there.
     std::map<std::string, std::uint64_t> others() const;
-    bool peer_heard(Moment now) const;  // some other controller has spoken of late
+    bool peer_heard(Timestamp now) const;  // some other controller has spoken of late
 
-    bool responsible(const model::Job& job) const;
+    bool responsible(const state::Job& job) const;
     // The same number in every controller, spread evenly.
-    static std::uint64_t mix(std::string_view a, std::string_view b);
-    static const char* phase_name(const model::Job& job);
+    static std::uint64_t stable_hash(std::string_view a, std::string_view b);
+    static const char* phase_name(const state::Job& job);
 
   private:
-    Admission admit(const wire::Report& r, Moment now);
-    // Whether a report of a machine kept here may be answered with 200; then the lease is counted from now.
-    bool renew_lease(const wire::Report& r, Moment now);
-    // Takes in what a report of a machine kept here tells, unless something newer is known.
-    void take_report(const wire::Report& r, model::ReportSource source, Moment now);
-    struct Proof {
+    Admission admit(const wire::Heartbeat& r, Timestamp now);
+    // Whether a heartbeat of a machine led here may be answered with 200; then the lease is counted from now.
+    bool renew_lease(const wire::Heartbeat& r, Timestamp now);
+    // Takes in what a heartbeat of a machine led here tells, unless something newer is known.
+    void apply_status(const wire::Heartbeat& r, workers::StatusSource source, Timestamp now);
+    struct TerminationProof {
         enum Verdict { none, done, gone } verdict = none;
         const char* reason = "";
     };
-    Proof proof(const model::HostRecord& h, const model::StepRef& ref);
+    TerminationProof termination_proof(const state::HostRecord& h, const state::TaskRef& ref);
     // Every host that may have something to do is in `due_`; a round looks at these alone.
-    void mark(const model::HostRecord& h) { due_.insert(h.name); }
-    void mark_job(const model::Job& job);
-    bool settled(const model::HostRecord& h, const model::HostNotes& n) const;
+    void mark_due(const state::HostRecord& h) { dueHosts_.insert(h.name); }
+    void mark_job_due(const state::Job& job);
+    bool in_sync(const state::HostRecord& h, const workers::HostTracker& n) const;
     // For so long a host that is well has never been quiet.
-    bool silent(const model::HostNotes& n, Moment now) const {
-        return n.lease.age(now.steady) > kSilentReports * settings_.reportS;
+    bool silent(const workers::HostTracker& n, Timestamp now) const {
+        return n.lease.age(now.steady) > kSilentHeartbeats * settings_.heartbeatIntervalS;
     }
-    static constexpr double kSilentReports = 1.6;  // intervals: they vary by a quarter, and one may be late
-    bool layout_switched() const { return view_->layout().version >= model::kLayoutWithParts; }
-    bool parts_allowed() const;
-    bool propose_switch(Draft& draft) const;
-    void divide_ranges(Draft& draft, Moment now);
-    void claim_hosts(Draft& draft, Moment now);
+    static constexpr double kSilentHeartbeats = 1.6;  // intervals: they vary by a quarter, and one may be late
+    bool layout_switched() const { return state_->layout().version >= state::kLayoutWithSplitShards; }
+    bool splitting_allowed() const;
+    bool propose_switch(state::TransactionBuilder& builder) const;
+    void split_shards(state::TransactionBuilder& builder, Timestamp now);
+    void acquire_hosts(state::TransactionBuilder& builder, Timestamp now);
     // All machines of the range that no live process keeps.
-    bool claim_orphans(Draft& draft, const model::HostRange& range);
-    void hand_over(Draft& draft, Moment now);
-    bool orphan(const model::HostRecord& h) const;
-    const std::string& preferred(const model::HostRange& range) const;
-    model::GangState gang_state(const model::Job& job) const;
-    bool stopping(const model::Job& job, const model::Step& step) const;
+    bool acquire_unowned(state::TransactionBuilder& builder, const state::HostShard& shard);
+    void transfer_hosts(state::TransactionBuilder& builder, Timestamp now);
+    bool unowned(const state::HostRecord& h) const;
+    const std::string& preferred_leader(const state::HostShard& shard) const;
+    state::GangState gang_state(const state::Job& job) const;
+    bool stopping(const state::Job& job, const state::Task& task) const;
     bool cancelled(const std::string& id) const;
-    bool cancelled(const model::Job& job) const;
-    bool may_start_cancelled(const model::HostRecord& h) const;
-    bool holds_cancelled(const model::HostRecord& h, const model::HostNotes& n, Moment now) const;
-    void log_start(const model::HostRecord& h, const wire::Order& start, const char* sentBy, Moment now) const;
-    void add_blind_halts(const model::HostRecord& h, const model::HostNotes& n, std::vector<wire::Order>& all) const;
-    bool kept_here(const model::HostRecord* h) const;
-    bool usable(const model::HostRecord& h, Moment now) const;
-    void on_step(model::Job& job, std::uint32_t index, const model::Step& before, const model::Step& after);
-    void note_replica_end(const model::Job& job, const std::string& host, Moment now);
-    bool may_move_replica(const model::Job& job, std::uint32_t index, Moment now) const;
+    bool cancelled(const state::Job& job) const;
+    bool may_start_cancelled(const state::HostRecord& h) const;
+    bool holds_cancelled(const state::HostRecord& h, const workers::HostTracker& n, Timestamp now) const;
+    void log_start(const state::HostRecord& h, const wire::Command& start, const char* sentBy, Timestamp now) const;
+    void add_blind_stops(const state::HostRecord& h, const workers::HostTracker& n,
+                         std::vector<wire::Command>& all) const;
+    bool led_here(const state::HostRecord* h) const;
+    bool usable(const state::HostRecord& h, Timestamp now) const;
+    void on_task_change(state::Job& job, std::uint32_t index, const state::Task& before, const state::Task& after);
+    void record_replica_end(const state::Job& job, const std::string& host, Timestamp now);
+    bool may_move_replica(const state::Job& job, std::uint32_t index, Timestamp now) const;
     // Since when a service has had an open replica, by the time of day.
-    double open_since(const model::Job& job) const;
-    bool holds_service(const model::HostRecord& h) const;
-    void note_end(model::HostNotes& n, const std::string& host, const model::TaskKey& key, const model::Seen& seen,
-                  Moment now);
+    double open_since(const state::Job& job) const;
+    bool holds_service(const state::HostRecord& h) const;
+    void record_task_end(workers::HostTracker& n, const std::string& host, const workers::TaskKey& key,
+                         const workers::ObservedTask& seen, Timestamp now);
 
-    void clear_ended(Draft& draft, Moment now);
-    void finish_jobs(Draft& draft);
-    void place(Draft& draft, Moment now);
+    void release_finished_tasks(state::TransactionBuilder& builder, Timestamp now);
+    void finish_jobs(state::TransactionBuilder& builder);
+    void place(state::TransactionBuilder& builder, Timestamp now);
 
-    struct Queued {
-        model::Job* job;
-        int rank;
-        bool beyond;
-        bool waited = false;  // has waited for so long that it goes first
-        double share = 0;     // of all machines that it may use: what its open tasks take
+    struct QueuedJob {
+        state::Job* job;
+        int priority;
+        bool overQuota;
+        bool aged = false;  // has waited for so long that it goes first
+        double share = 0;   // of all machines that it may use: what its open tasks take
     };
-    std::vector<Queued> ordered_queue(const std::vector<placement::Machine>& machines, Moment now) const;
-    void order_for_machines(std::vector<Queued>& queue, const std::vector<placement::Machine>& machines,
-                            Moment now) const;
-    void order_within_limits(std::vector<Queued>& queue, Moment now) const;
-    void put_lost_replicas_first(std::vector<Queued>& queue) const;
-    void put_long_waiting_first(std::vector<Queued>& queue, Moment now) const;
+    std::vector<QueuedJob> ordered_queue(const std::vector<placement::Machine>& machines, Timestamp now) const;
+    void order_for_machines(std::vector<QueuedJob>& queue, const std::vector<placement::Machine>& machines,
+                            Timestamp now) const;
+    void order_within_limits(std::vector<QueuedJob>& queue, Timestamp now) const;
+    void put_lost_replicas_first(std::vector<QueuedJob>& queue) const;
+    void put_aged_first(std::vector<QueuedJob>& queue, Timestamp now) const;
     bool has_team_room(const wire::JobSpec& spec) const;
-    void spend_waited(std::map<std::string, double>& next, const Queued& q, std::uint32_t tasks, Moment now) const;
-    std::vector<double> due_times(const wire::JobSpec& spec, bool beyond) const;
+    void spend_ageing_share(std::map<std::string, double>& next, const QueuedJob& q, std::uint32_t tasks,
+                            Timestamp now) const;
+    std::vector<double> due_times(const wire::JobSpec& spec, bool overQuota) const;
     struct Plan {
         struct Start {
-            model::Job* job;
-            std::vector<std::pair<std::uint32_t, model::HostRecord*>> tasks;
+            state::Job* job;
+            std::vector<std::pair<std::uint32_t, state::HostRecord*>> tasks;
             std::uint32_t attempt;
         };
         std::vector<Start> starts;
         struct Unmet {
-            model::Job* job;
+            state::Job* job;
             std::uint32_t tasks;
-            bool beyond;     // more than its team's guarantee
+            bool overQuota;  // more than its team's guarantee
             double soonest;  // the first promised start, or never
         };
         std::vector<Unmet> unmet;                  // tasks that cannot start now
-        std::vector<model::HostRecord*> records;   // by machine
+        std::vector<state::HostRecord*> records;   // by machine
         std::vector<placement::Machine> machines;  // with what the plan holds on them
     };
     // `act`: as far as this controller has its turn; otherwise everything, to see what lacks room.
-    Plan make_plan(Moment now, bool act);
-    double turn(const model::Job& job) const;
-    std::vector<std::size_t> machines_of(const model::Job& job, const std::vector<model::HostRecord*>& records) const;
-    void preempt(const Plan& plan, Moment now);
-    void note_arrivals(Moment now);
+    Plan make_plan(Timestamp now, bool act);
+    double placement_turn(const state::Job& job) const;
+    std::vector<std::size_t> machines_of(const state::Job& job, const std::vector<state::HostRecord*>& records) const;
+    void preempt(const Plan& plan, Timestamp now);
+    void record_arrivals(Timestamp now);
     placement::Request probe(const wire::JobSpec& spec, std::uint32_t count) const;
-    std::set<const model::Job*> beyond_guarantee() const;
-    std::vector<placement::Machine> machines(Moment now, std::vector<model::HostRecord*>& records);
-    placement::Request request_of(const model::Job& job) const;
+    std::set<const state::Job*> jobs_over_quota() const;
+    std::vector<placement::Machine> machines(Timestamp now, std::vector<state::HostRecord*>& records);
+    placement::Request request_of(const state::Job& job) const;
     placement::Weights weights(std::size_t machines) const;
-    std::uint32_t hall_id(const std::string& hall);
-    std::uint32_t kind_id(const std::string& build, const std::string& hall, bool loaner);
+    std::uint32_t zone_id(const std::string& zone);
+    std::uint32_t node_pool_id(const std::string& machineType, const std::string& zone, bool spot);
 
-    const app::Settings& settings_;
+    const config::Settings& settings_;
     Tunables tunables_;
     std::uint64_t incarnation_;
-    std::unique_ptr<model::View> view_;
-    bool viewReady_ = false;
+    std::unique_ptr<state::StateCache> state_;
+    bool stateReady_ = false;
     double liveSinceS_ = -1e9;
-    model::StateMachine<model::MemberState, model::MemberTraits> member_{model::MemberState::joining};
-    bool dirty_ = true;
+    state::StateMachine<state::Availability, state::AvailabilityTraits> availability_{state::Availability::joining};
+    bool roundDue_ = true;
     bool planDue_ = true;      // something that placement depends on has changed
     double plannedS_ = -1e9;   // when it was last planned
     double nextTurnS_ = 1e18;  // time of day of the next turn of this controller at some job
-    struct Kind {
-        std::string build, hall;
-        bool loaner;
+    struct NodePool {
+        std::string machineType, zone;
+        bool spot;
     };
-    std::vector<Kind> kinds_;
-    std::vector<std::string> halls_;
+    std::vector<NodePool> nodePools_;
+    std::vector<std::string> zones_;
     // Room that is being made by stopping tasks, until when it is kept for its job.
     struct Reservation {
         std::vector<std::string> hosts;  // by task
@@ -287,35 +291,36 @@
     };
     std::map<std::string, Reservation> reservations_;
     // From when on the next job that has waited for long goes first: of a team, and by the machines (no name).
-    std::map<std::string, double> waitedNextS_;
+    std::map<std::string, double> nextAgedStartS_;
     std::uint64_t lastOrder_ = 0;  // the newest job that was planned for
 
     std::set<std::string> cancelled_;  // confirmed, and not seen in the store yet
-    std::unordered_map<std::string, model::HostNotes> notes_;
-    CheckinStatistics checkinStatistics_;
-    std::map<std::string, wire::Report> claims_;
+    std::unordered_map<std::string, workers::HostTracker> trackers_;
+    HeartbeatStatistics heartbeatStatistics_;
+    std::map<std::string, wire::Heartbeat> acquisitionRequests_;
     struct Redirected {
         double atS = -1e9;
-        std::uint64_t tenure = 0, tick = 0;
+        std::uint64_t agentEpoch = 0, sequence = 0;
     };
     std::unordered_map<std::string, Redirected> redirected_;
-    std::unordered_map<std::string, double> takenS_;  // hosts taken from a live keeper: when
-    std::map<std::string, double> unreached_;         // controllers that some host could not reach: when
-    std::set<std::string> due_;
-    Moment now_;
-    double claimedS_ = -1e9, handedS_ = -1e9, returnsS_ = -1e9;
-    std::uint64_t membersSeen_ = 0;
-    bool limitsFell_ = false;              // the state service has refused what the present limits allow
-    std::map<std::string, double> avoid_;  // keys that it refused as too large: until when they are left alone
-    double dividedS_ = -1e9;
+    std::unordered_map<std::string, double> takenOverS_;  // hosts taken from a live leader: when
+    std::map<std::string, double> unreached_;             // controllers that some host could not reach: when
+    std::set<std::string> dueHosts_;
+    Timestamp now_;
+    double acquiredS_ = -1e9, transferredS_ = -1e9, scaleInProposedS_ = -1e9;
+    std::uint64_t membersRevision_ = 0;
+    bool limitsFell_ = false;  // the state service has refused what the present limits allow
+    std::map<std::string, double>
+        rejectedKeysUntil_;  // keys that it refused as too large: until when they are left alone
+    double splitS_ = -1e9;
     int firstStage_ = 0;  // of a round: rotates while transactions are full
-    struct JobNotes {
+    struct JobHistory {
         std::set<std::string> failedOn;
         int failures = 0;
         double notBeforeS = -1e9;
         double lastFailureS = -1e9;
     };
-    std::unordered_map<std::string, JobNotes> jobNotes_;
+    std::unordered_map<std::string, JobHistory> jobHistories_;
     std::unordered_map<std::string, double> replicaLostS_;  // services: time of day of the last loss
     // Jobs that would run but for room kept for others: since when, and when that was seen last; a moment without any
     // room, between two tasks, does not end it. Kept room is a courtesy, and may not cost a job more than two leases.
@@ -323,37 +328,37 @@
         double sinceS, seenS;
     };
     std::unordered_map<std::string, HeldBack> heldBack_;
-    bool held_back_too_long(const std::string& id, Moment now) const {
+    bool held_back_too_long(const std::string& id, Timestamp now) const {
         auto it = heldBack_.find(id);
         return it != heldBack_.end() && now.steady - it->second.sinceS > 2 * settings_.leaseS;
     }
     // Foreign hosts on which a planned start does not happen: since when.
-    std::unordered_map<std::string, double> doubts_;
+    std::unordered_map<std::string, double> unstartedSince_;
 
-    struct PeerNote {
-        peers::Hint hint;
+    struct ReceivedStatus {
+        peers::PeerStatus peerStatus;
         double atS = -1e9;
     };
-    std::map<std::string, PeerNote> hints_;
+    std::map<std::string, ReceivedStatus> peerStatuses_;
 
-    CloudView cloud_;
-    struct Coming {
-        RentalOrder what;
+    MachineList cloud_;
+    struct PendingHost {
+        ScaleOutRequest what;
         double sinceS;
     };
-    std::map<std::string, Coming> coming_;
-    struct Refusal {
+    std::map<std::string, PendingHost> pendingHosts_;
+    struct Backoff {
         double untilS = -1e9;
     };
-    std::map<std::string, Refusal> refusals_;
-    std::vector<std::pair<wire::JobSpec, std::uint32_t>> wanted_;  // tasks without room: what they need, how many
+    std::map<std::string, Backoff> backoffs_;
+    std::vector<std::pair<wire::JobSpec, std::uint32_t>> unmetDemand_;  // tasks without room: what they need, how many
     std::map<std::string, double> idleSince_;
-    std::map<std::string, double> strangeSince_;  // hosts that nobody keeps alive
-    struct LaneNote {
+    std::map<std::string, double> unownedSince_;  // hosts that nobody keeps alive
+    struct ClassArrivals {
         wire::JobSpec last;
         std::deque<std::pair<double, std::uint32_t>> arrivals;  // steady time, tasks
     };
-    std::map<std::string, LaneNote> lanes_;
+    std::map<std::string, ClassArrivals> arrivalsByClass_;
     struct Urgent {
         double cores = 0, gpus = 0, lastS = -1e9;
     };
--- a/src/controller/checkin_statistics.cpp
+++ b/src/controller/heartbeat_statistics.cpp
@@ -1,4 +1,4 @@
-#include "controller/checkin_statistics.hpp"
+#include "controller/heartbeat_statistics.hpp"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -11,16 +11,16 @@
 
 }  // namespace
 
-CheckinStatistics::CheckinStatistics()
+HeartbeatStatistics::HeartbeatStatistics()
     : leaseShares_(boost::histogram::make_histogram(Axis(kBins, 0, kLargestShare))) {}
 
-void CheckinStatistics::answered(double leaseShare, bool overtaken) {
+void HeartbeatStatistics::answered(double leaseShare, bool overtaken) {
     ++answered_;
     overtaken_ += overtaken;
     leaseShares_(leaseShare);
 }
 
-double CheckinStatistics::quantile(double q) const {
+double HeartbeatStatistics::quantile(double q) const {
     const double wanted = q * boost::histogram::algorithm::sum(leaseShares_);
     double below = 0;
     for (auto&& bin : boost::histogram::indexed(leaseShares_)) {
@@ -30,12 +30,12 @@
     return kLargestShare;
 }
 
-std::string CheckinStatistics::take_summary() {
+std::string HeartbeatStatistics::take_summary() {
     std::string line = fmt::format(
         "check-ins: {} answered, {} of them overtaken by a command's reply, {} refused as older; share of the lease "
         "between renewals: median {:.2f}, 99% {:.2f}; {} leases ended, {} machines back in an ended session",
         answered_, overtaken_, refusedAsOlder_, quantile(0.5), quantile(0.99), leasesEnded_, backInEndedSession_);
-    *this = CheckinStatistics();
+    *this = HeartbeatStatistics();
     return line;
 }
 
--- a/src/controller/checkin_statistics.hpp
+++ b/src/controller/heartbeat_statistics.hpp
@@ -1,4 +1,4 @@
-// Counts what became of workers' reports, and how close renewals come to the end of the lease.
+// Counts what became of workers' heartbeats, and how close renewals come to the end of the lease.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -7,16 +7,16 @@
 
 namespace wellstair::controller {
 
-class CheckinStatistics {
+class HeartbeatStatistics {
   public:
-    CheckinStatistics();
+    HeartbeatStatistics();
 
     // An answer that renews a lease. `leaseShare`: what part of the lease had passed since the last one.
     void answered(double leaseShare, bool overtaken);
     void refused_as_older() { ++refusedAsOlder_; }
     void lease_ended() { ++leasesEnded_; }
-    // A machine reports in a session whose lease was counted as ended. Beside reports that were held back on the way,
-    // this shows a lease that was counted too short.
+    // A machine reports in a session whose lease was counted as ended. Beside heartbeats that were held back on the
+    // way, this shows a lease that was counted too short.
     void back_in_ended_session() { ++backInEndedSession_; }
 
     bool empty() const { return answered_ + refusedAsOlder_ + leasesEnded_ == 0; }
--- /dev/null
+++ b/src/controller/heartbeats.cpp
@@ -0,0 +1,56 @@
+// Answers to workers' heartbeats. An answer of 200 renews the worker's lease: here it is granted, and counted.
+#include <spdlog/spdlog.h>
+
+#include "controller/core.hpp"
+
+namespace wellstair::controller {
+
+using state::HostState;
+using workers::HostTracker;
+
+HeartbeatResponse Core::handle_heartbeat(const wire::Heartbeat& r, Timestamp now) {
+    Admission admission = admit(r, now);
+    HeartbeatResponse answer;
+    if (admission.kind == Admission::redirect) {
+        answer.kind = HeartbeatResponse::redirect;
+        answer.leader = admission.leader;
+    } else if (admission.kind == Admission::acquire) {
+        answer.kind = HeartbeatResponse::acquiring;
+        request_acquisition(r);
+    } else if (admission.kind == Admission::kept && renew_lease(r, now)) {
+        apply_status(r, workers::StatusSource::heartbeat, now);
+        answer.kind = HeartbeatResponse::renewed;
+        answer.token = state_->host(r.host)->fencingToken;
+        answer.commands = commands_for(r.host, false, now);
+    }
+    return answer;
+}
+
+bool Core::renew_lease(const wire::Heartbeat& r, Timestamp now) {
+    HostTracker& n = trackers_[r.host];
+    const bool countedAsEnded = n.state == HostState::expired && r.agentEpoch == n.lease.agentEpoch();
+    const workers::WorkerLease before = n.lease;
+    if (!n.lease.renew(r.agentEpoch, r.sequence, now.steady)) {
+        heartbeatStatistics_.refused_as_older();
+        spdlog::debug("heartbeat {}/{} of {} is rejected as stale: lease {}", r.agentEpoch, r.sequence, r.host,
+                      before.describe(now.steady));
+        return false;
+    }
+    const bool overtaken = !n.newer(r);
+    heartbeatStatistics_.answered(before.age(now.steady) / settings_.leaseS, overtaken);
+    if (countedAsEnded) {
+        heartbeatStatistics_.back_in_ended_session();
+        spdlog::warn("host {} sends heartbeats in an agent epoch whose lease was counted as expired: {}", r.host,
+                     before.describe(now.steady));
+    }
+    if (overtaken)
+        spdlog::debug("heartbeat {}/{} of {} was overtaken by {}/{}: its answer renews the lease, which was {}",
+                      r.agentEpoch, r.sequence, r.host, n.agentEpoch, n.sequence, before.describe(now.steady));
+    return true;
+}
+
+void Core::handle_command_reply(const wire::Heartbeat& r, Timestamp now) {
+    apply_status(r, workers::StatusSource::command_reply, now);
+}
+
+}  // namespace wellstair::controller
--- a/src/controller/job_needs.hpp
+++ b/src/controller/job_needs.hpp
@@ -14,10 +14,12 @@
 }
 
 // Whether the job allows machines of this type and zone, spot or not.
-inline bool allows(const wire::JobSpec& spec, const std::string& build, const std::string& hall, bool loaner) {
-    if (spec.builds && std::find(spec.builds->begin(), spec.builds->end(), build) == spec.builds->end()) return false;
-    if (spec.hall && *spec.hall != hall) return false;
-    return !loaner || spec.loaners;
+inline bool allows(const wire::JobSpec& spec, const std::string& machineType, const std::string& zone, bool spot) {
+    if (spec.machineTypes &&
+        std::find(spec.machineTypes->begin(), spec.machineTypes->end(), machineType) == spec.machineTypes->end())
+        return false;
+    if (spec.zone && *spec.zone != zone) return false;
+    return !spot || spec.spotAllowed;
 }
 
 }  // namespace wellstair::controller
--- a/src/controller/ordering.cpp
+++ b/src/controller/queue_order.cpp
@@ -6,18 +6,18 @@
 
 namespace wellstair::controller {
 
-using model::Job;
-using model::JobState;
-using model::Step;
-using model::StepState;
+using state::Job;
+using state::JobState;
+using state::Task;
+using state::TaskState;
 
 namespace {
 
 // Jobs that have waited for so many leases go first, if they can, before they have waited for `kLateLeases`, and take
 // at most such a part of the room that gets free. Wide gangs are sooner in need of that: an array begins with any room
 // there is, a gang with that for all of its tasks only. Every `kLateTurn`th lease is for those that are later still.
-constexpr double kGangWaitedLeases = 5, kGangPart = 0.7;
-constexpr double kWaitedLeases = 7, kWaitedPart = 0.25;
+constexpr double kGangAgeingLeases = 5, kGangAgeingShare = 0.7;
+constexpr double kAgeingLeases = 7, kAgeingShare = 0.25;
 constexpr double kBegunLeases = 15;  // an array that has begun, for what is left of it
 constexpr double kLateLeases = 8;
 constexpr std::int64_t kLateTurn = 4;
@@ -34,44 +34,44 @@
 }  // namespace
 
 // A job is within its team's guarantee if it fits into it together with the team's earlier unfinished jobs.
-std::set<const Job*> Core::beyond_guarantee() const {
+std::set<const Job*> Core::jobs_over_quota() const {
     std::set<const Job*> out;
     std::map<std::string, std::pair<double, double>> used;
-    for (const auto& [order, job] : view_->queue()) {
-        if (job->state != JobState::active || job->done == job->spec->steps) continue;
+    for (const auto& [order, job] : state_->queue()) {
+        if (job->state != JobState::active || job->done == job->spec->taskCount) continue;
         const wire::JobSpec& s = *job->spec;
-        auto& [cores, gpus] = used[s.crew];
-        double left = s.steps - job->done;
+        auto& [cores, gpus] = used[s.team];
+        double left = s.taskCount - job->done;
         cores += s.cores * left;
         gpus += s.gpus * left;
-        const app::Team* t = settings_.team(s.crew);
+        const config::Team* t = settings_.team(s.team);
         if (!t || cores > t->cpus + 1e-9 || gpus > t->gpus + 1e-9) out.insert(job);
     }
     return out;
 }
 
-std::vector<Core::Queued> Core::ordered_queue(const std::vector<placement::Machine>& machines, Moment now) const {
-    std::vector<Queued> out;
-    auto beyond = beyond_guarantee();
-    for (const auto& [order, job] : view_->queue())
+std::vector<Core::QueuedJob> Core::ordered_queue(const std::vector<placement::Machine>& machines, Timestamp now) const {
+    std::vector<QueuedJob> out;
+    auto overQuota = jobs_over_quota();
+    for (const auto& [order, job] : state_->queue())
         if (job->state == JobState::active && job->open() > 0)
-            out.push_back({job, static_cast<int>(job->spec->rank), beyond.count(job) > 0});
-    std::stable_sort(out.begin(), out.end(), [](const Queued& a, const Queued& b) {
-        return std::pair(a.rank, a.beyond) < std::pair(b.rank, b.beyond);
+            out.push_back({job, static_cast<int>(job->spec->priority), overQuota.count(job) > 0});
+    std::stable_sort(out.begin(), out.end(), [](const QueuedJob& a, const QueuedJob& b) {
+        return std::pair(a.priority, a.overQuota) < std::pair(b.priority, b.overQuota);
     });
     order_for_machines(out, machines, now);
     order_within_limits(out, now);
     put_lost_replicas_first(out);
-    put_long_waiting_first(out, now);
+    put_aged_first(out, now);
     return out;
 }
 
 // A service that has lost a replica goes before new work of its rank: its users notice at once.
-void Core::put_lost_replicas_first(std::vector<Queued>& queue) const {
+void Core::put_lost_replicas_first(std::vector<QueuedJob>& queue) const {
     // The queue is in the order of ranks by now.
     for (auto first = queue.begin(); first != queue.end();) {
-        auto last = std::find_if(first, queue.end(), [&](const Queued& q) { return q.rank != first->rank; });
-        std::stable_partition(first, last, [](const Queued& q) { return q.job->lost_replica(); });
+        auto last = std::find_if(first, queue.end(), [&](const QueuedJob& q) { return q.priority != first->priority; });
+        std::stable_partition(first, last, [](const QueuedJob& q) { return q.job->lost_replica(); });
         first = last;
     }
 }
@@ -80,41 +80,41 @@
 // longest wait before the others, and is promised the next room wide enough for it. They get a part of the room that
 // gets free, no more: under lasting overload many have waited for long, and nothing else would be in time. By age alone
 // they would then all be late in turn: those that are too late already stand back, but for a turn of their own.
-void Core::put_long_waiting_first(std::vector<Queued>& queue, Moment now) const {
-    std::vector<Queued*> waiting;
-    for (Queued& q : queue) {
+void Core::put_aged_first(std::vector<QueuedJob>& queue, Timestamp now) const {
+    std::vector<QueuedJob*> waiting;
+    for (QueuedJob& q : queue) {
         const Job& job = *q.job;
         bool begun = job.placed + job.done > 0;
         if (begun && (job.gang() || job.service())) continue;
-        double leases = begun ? kBegunLeases : job.wide_gang() ? kGangWaitedLeases : kWaitedLeases;
+        double leases = begun ? kBegunLeases : job.wide_gang() ? kGangAgeingLeases : kAgeingLeases;
         if (now.wall - job.atS < leases * settings_.leaseS) continue;
         if (has_team_room(*job.spec)) waiting.push_back(&q);
     }
     if (waiting.empty()) return;
     bool lateTurn = static_cast<std::int64_t>(now.wall / settings_.leaseS) % kLateTurn == 0;
-    std::sort(waiting.begin(), waiting.end(), [&](const Queued* a, const Queued* b) {
-        auto key = [&](const Queued* q) {
+    std::sort(waiting.begin(), waiting.end(), [&](const QueuedJob* a, const QueuedJob* b) {
+        auto key = [&](const QueuedJob* q) {
             bool late = now.wall - q->job->atS > kLateLeases * settings_.leaseS;
             return std::pair(late && !lateTurn, q->job->order);
         };
         return key(a) < key(b);
     });
-    auto next = waitedNextS_;
-    for (Queued* q : waiting) {
+    auto next = nextAgedStartS_;
+    for (QueuedJob* q : waiting) {
         if (next[""] > now.steady) break;
-        if (next[q->job->spec->crew] > now.steady) continue;
-        q->waited = true;
-        spend_waited(next, *q, q->job->open(), now);
+        if (next[q->job->spec->team] > now.steady) continue;
+        q->aged = true;
+        spend_ageing_share(next, *q, q->job->open(), now);
     }
-    std::stable_partition(queue.begin(), queue.end(), [](const Queued& q) { return q.waited; });
+    std::stable_partition(queue.begin(), queue.end(), [](const QueuedJob& q) { return q.aged; });
 }
 
 // The tasks that it is to start at once, all of a gang or one of a batch, fit below the team's limit now.
 bool Core::has_team_room(const wire::JobSpec& s) const {
-    const app::Team* team = settings_.team(s.crew);
-    auto used = view_->teams().find(s.crew);
-    if (!team || used == view_->teams().end()) return true;
-    double tasks = s.shape == wire::Shape::gang ? s.steps : 1;
+    const config::Team* team = settings_.team(s.team);
+    auto used = state_->teams().find(s.team);
+    if (!team || used == state_->teams().end()) return true;
+    double tasks = s.kind == wire::JobKind::gang ? s.taskCount : 1;
     auto fits = [&](double limit, std::int64_t use, double more) {
         return limit <= 0 || static_cast<double>(use) / 1000 + more * tasks <= limit + 1e-9;
     };
@@ -125,33 +125,34 @@
 // What is scarce turns over once in about a run time, be it the machines or what a team may use: what so many tasks of
 // this job take of each is their part of what gets free in so many seconds. Counted by the machines alone, long-waiting
 // jobs of a team at its limit took all of that limit, and none of its others was in time.
-void Core::spend_waited(std::map<std::string, double>& next, const Queued& q, std::uint32_t tasks, Moment now) const {
+void Core::spend_ageing_share(std::map<std::string, double>& next, const QueuedJob& q, std::uint32_t tasks,
+                              Timestamp now) const {
     const wire::JobSpec& s = *q.job->spec;
-    double turnover = turnover_s(s, settings_) / (q.job->wide_gang() ? kGangPart : kWaitedPart);
+    double turnover = turnover_s(s, settings_) / (q.job->wide_gang() ? kGangAgeingShare : kAgeingShare);
     auto spend = [&](const std::string& whose, double share) {
         double& at = next[whose];
         at = std::max(at, now.steady) + share * turnover;
     };
     spend("", q.share * tasks / q.job->open());
-    const app::Team* team = settings_.team(s.crew);
+    const config::Team* team = settings_.team(s.team);
     double ofTeam = 0;
     if (team && team->cpusMax > 0) ofTeam = std::max(ofTeam, s.cores * tasks / team->cpusMax);
     if (team && team->gpusMax > 0) ofTeam = std::max(ofTeam, s.gpus * tasks / team->gpusMax);
-    spend(s.crew, ofTeam);
+    spend(s.team, ofTeam);
 }
 
 // By when users want such a job to be over, in seconds from its submission, dearest first.
-std::vector<double> Core::due_times(const wire::JobSpec& spec, bool beyond) const {
+std::vector<double> Core::due_times(const wire::JobSpec& spec, bool overQuota) const {
     std::vector<double> out;
     for (const auto& o : settings_.objectives) {
         // What is to start in time has to be over one run time later.
-        if (o.kind == "guarantee" && !beyond && o.withinS > 0) out.push_back(o.withinS + spec.expectS);
-        if (o.lane != spec.lane) continue;
-        if (o.kind == "deadline" && spec.dueS) out.push_back(*spec.dueS * (o.times > 0 ? o.times : 1));
+        if (o.kind == "guarantee" && !overQuota && o.withinS > 0) out.push_back(o.withinS + spec.estimatedDurationS);
+        if (o.jobClass != spec.jobClass) continue;
+        if (o.kind == "deadline" && spec.deadlineS) out.push_back(*spec.deadlineS * (o.times > 0 ? o.times : 1));
         if (o.kind == "finished" && o.withinS > 0) out.push_back(o.withinS);
-        if (o.kind == "wait" && o.withinS > 0) out.push_back(o.withinS + spec.expectS);
+        if (o.kind == "wait" && o.withinS > 0) out.push_back(o.withinS + spec.estimatedDurationS);
     }
-    if (out.empty() && spec.dueS) out.push_back(*spec.dueS);
+    if (out.empty() && spec.deadlineS) out.push_back(*spec.deadlineS);
     std::sort(out.begin(), out.end());
     return out;
 }
@@ -159,9 +160,10 @@
 // Where more is asked for than the machines have room for, submission order would make all jobs late one after the
 // other. Among the jobs of one rank, within or beyond the guarantees, the order then follows what can still start in
 // time.
-void Core::order_for_machines(std::vector<Queued>& queue, const std::vector<placement::Machine>& machines,
-                              Moment now) const {
-    std::map<std::string, placement::RoomCurve> rooms;  // by lane: jobs of one lane are of one shape, more or less
+void Core::order_for_machines(std::vector<QueuedJob>& queue, const std::vector<placement::Machine>& machines,
+                              Timestamp now) const {
+    std::map<std::string, placement::RoomCurve>
+        rooms;  // by job class: jobs of one job class are of one shape, more or less
     double ahead = 0;
     for (std::size_t first = 0, last; first < queue.size(); first = last) {
         std::vector<placement::DueJob> jobs;
@@ -169,21 +171,21 @@
         std::vector<std::size_t> places;
         double wanted = ahead;
         bool lacking = false;
-        for (last = first;
-             last < queue.size() && queue[last].rank == queue[first].rank && queue[last].beyond == queue[first].beyond;
+        for (last = first; last < queue.size() && queue[last].priority == queue[first].priority &&
+                           queue[last].overQuota == queue[first].overQuota;
              ++last) {
-            Queued& q = queue[last];
+            QueuedJob& q = queue[last];
             const wire::JobSpec& s = *q.job->spec;
-            auto at = rooms.find(s.lane);
+            auto at = rooms.find(s.jobClass);
             if (at == rooms.end())
-                at = rooms.try_emplace(s.lane, placement::RoomCurve(machines, request_of(*q.job), now.wall)).first;
+                at = rooms.try_emplace(s.jobClass, placement::RoomCurve(machines, request_of(*q.job), now.wall)).first;
             room.push_back(&at->second);
             places.push_back(last);
             q.share = at->second.all() ? static_cast<double>(q.job->open()) / at->second.all() : 0;
             double waited = now.wall - static_cast<double>(q.job->atS);
-            placement::DueJob d{q.share, 0, due_times(s, q.beyond)};
-            for (double& due : d.due) due -= s.expectS + waited;  // to start by
-            d.due.push_back(kGangWaitedLeases * settings_.leaseS - waited);
+            placement::DueJob d{q.share, 0, due_times(s, q.overQuota)};
+            for (double& due : d.due) due -= s.estimatedDurationS + waited;  // to start by
+            d.due.push_back(kGangAgeingLeases * settings_.leaseS - waited);
             jobs.push_back(std::move(d));
             wanted += q.share;
             lacking = lacking || wanted > at->second.within(0);
@@ -200,13 +202,13 @@
 // Where a team asks for more than its limit, submission order would make all of its jobs late one after the other.
 // Among its jobs of one rank the order then follows what can still be in time. Outside of that, and for all others,
 // submission order stays.
-void Core::order_within_limits(std::vector<Queued>& queue, Moment now) const {
+void Core::order_within_limits(std::vector<QueuedJob>& queue, Timestamp now) const {
     std::map<std::pair<std::string, int>, std::vector<std::size_t>> groups;
     for (std::size_t i = 0; i < queue.size(); ++i)
-        if (!due_times(*queue[i].job->spec, queue[i].beyond).empty())
-            groups[{queue[i].job->spec->crew, queue[i].rank}].push_back(i);
+        if (!due_times(*queue[i].job->spec, queue[i].overQuota).empty())
+            groups[{queue[i].job->spec->team, queue[i].priority}].push_back(i);
     for (const auto& [key, places] : groups) {
-        const app::Team* team = settings_.team(key.first);
+        const config::Team* team = settings_.team(key.first);
         if (!team || places.size() < 2) continue;
         double wanted = 0;
         bool byGpu = team->gpusMax > 0 && queue[places[0]].job->spec->gpus > 0;
@@ -220,11 +222,11 @@
             double remaining = job.open() * runS;
             for (const auto& chunk : job.chunks)
                 if (chunk.placed)
-                    for (const Step& step : chunk.steps)
-                        if (step.state == StepState::placed)
-                            remaining += std::max(runS / 5, runS - (now.wall - step.atS));
-            wanted += size(s) * (s.steps - job.done);
-            placement::DueJob d{remaining * size(s), s.expectS, due_times(s, queue[i].beyond)};
+                    for (const Task& task : chunk.tasks)
+                        if (task.state == TaskState::placed)
+                            remaining += std::max(runS / 5, runS - (now.wall - task.atS));
+            wanted += size(s) * (s.taskCount - job.done);
+            placement::DueJob d{remaining * size(s), s.estimatedDurationS, due_times(s, queue[i].overQuota)};
             for (double& due : d.due) due -= now.wall - job.atS;
             jobs.push_back(std::move(d));
         }
--- a/src/controller/store_limits.cpp
+++ b/src/controller/state_limits.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// How often a controller divides a range in a report interval: other work goes on between.
-constexpr double kDivisionsPerReport = 16;
+// How often a controller divides a range in a heartbeat interval: other work goes on between.
+constexpr double kSplitsPerHeartbeat = 16;
 // Bytes of an entry of a range or chunk, by which production has divided machines and tasks among keys.
 constexpr double kEntryBytes = 80;
 // Leases for which a key is left alone after the state service has refused its value.
@@ -22,58 +22,58 @@
 // A chunk of tasks stays well below a value's limit: controllers that place tasks of one job at the same time write
 // different chunks, and each change rewrites less. Announced limits do not matter here: all versions and all processes
 // must agree on every key.
-model::LayoutRecord Core::own_layout() const {
+state::LayoutRecord Core::own_layout() const {
     auto width = static_cast<std::uint32_t>(std::max(1.0, settings_.valueKb * 1024 / kEntryBytes));
-    return {model::kLayoutWithParts, std::max(1u, width / 4), width};
+    return {state::kLayoutWithSplitShards, std::max(1u, width / 4), width};
 }
 
-model::MemberData Core::member_data() const {
-    return {incarnation_, settings_.location, model::kLayoutWithParts};
+state::MemberData Core::member_data() const {
+    return {incarnation_, settings_.location, state::kLayoutWithSplitShards};
 }
 
 // Parts are written once the switch is durable; or when the state service has shown that its limits have fallen, which
 // the operators announce for after the upgrade. Production reads parts, and a division compares and changes the very
 // key that production's own changes compare: one that came back would do no harm (docs/upgrade.md).
-bool Core::parts_allowed() const {
+bool Core::splitting_allowed() const {
     return settings_.nextState && (layout_switched() || limitsFell_);
 }
 
-app::StateLimits Core::state_limits() const {
-    return parts_allowed() ? settings_.lowest_state_limits() : settings_.state_limits();
+config::StateLimits Core::state_limits() const {
+    return splitting_allowed() ? settings_.lowest_state_limits() : settings_.state_limits();
 }
 
-void Core::note_malformed(const std::vector<std::string>& keys, Moment now) {
-    if (settings_.nextState && !parts_allowed()) {
+void Core::handle_rejected_transaction(const std::vector<std::string>& keys, Timestamp now) {
+    if (settings_.nextState && !splitting_allowed()) {
         limitsFell_ = true;  // the same changes may fit by the lower limits
         spdlog::info("the state service's limits have fallen: the announced ones hold from now on");
         return;
     }
-    for (const std::string& key : keys) avoid_[key] = now.steady + kRefusedRest * settings_.leaseS;
+    for (const std::string& key : keys) rejectedKeysUntil_[key] = now.steady + kRefusedRest * settings_.leaseS;
 }
 
 // The layout changes once every member of the settings runs a version that can write it: each says so in its record,
 // and the switch rests on all of these.
-bool Core::propose_switch(Draft& draft) const {
-    if (!settings_.nextState || view_->layout_stamp()) return false;
+bool Core::propose_switch(state::TransactionBuilder& builder) const {
+    if (!settings_.nextState || state_->layout_revision()) return false;
     auto ready = [&](const std::string& name) {
-        auto member = view_->members().find(name);
-        return member != view_->members().end() && member->second.layout >= model::kLayoutWithParts;
+        auto member = state_->members().find(name);
+        return member != state_->members().end() && member->second.layout >= state::kLayoutWithSplitShards;
     };
     if (!ready(settings_.member)) return false;
     if (!std::all_of(settings_.members.begin(), settings_.members.end(), [&](const auto& m) { return ready(m.name); }))
         return false;
-    return draft.switch_layout(own_layout());
+    return builder.switch_layout(own_layout());
 }
 
 // Ranges that are larger than the announced limit allows are divided before anything has to be changed in them.
-void Core::divide_ranges(Draft& draft, Moment now) {
-    if (!parts_allowed() || now.steady - dividedS_ < settings_.reportS / kDivisionsPerReport) return;
-    for (const auto& [key, range] : view_->ranges()) {
-        if (range->size.bytes() <= state_limits().value_bytes() || avoid_.count(key)) continue;
-        if (preferred(*range) != settings_.member) continue;
-        dividedS_ = now.steady;
-        draft.divide(*range);
-        dirty_ = true;
+void Core::split_shards(state::TransactionBuilder& builder, Timestamp now) {
+    if (!splitting_allowed() || now.steady - splitS_ < settings_.heartbeatIntervalS / kSplitsPerHeartbeat) return;
+    for (const auto& [key, shard] : state_->shards()) {
+        if (shard->size.bytes() <= state_limits().value_bytes() || rejectedKeysUntil_.count(key)) continue;
+        if (preferred_leader(*shard) != settings_.member) continue;
+        splitS_ = now.steady;
+        builder.split(*shard);
+        roundDue_ = true;
         return;
     }
 }
--- a/src/model/inquiry.hpp
+++ b/src/leadership/cancellation_read_barrier.hpp
@@ -8,30 +8,30 @@
 #include <map>
 #include <string>
 
-namespace wellstair::model {
+namespace wellstair::leadership {
 
-class Inquiry {
+class CancellationReadBarrier {
   public:
     // `first`: no other process of this name has used the numbers from here on.
-    explicit Inquiry(std::uint64_t first) : next_(first) {}
+    explicit CancellationReadBarrier(std::uint64_t first) : next_(first) {}
 
     // The number of a question that is asked now.
-    std::uint64_t ask(double nowS);
+    std::uint64_t next_request(double nowS);
     // A member has answered the question of that number with all cancellations that it had confirmed by then. A packet
     // that was held back answers an old question, and proves no more than that.
-    void answered(const std::string& member, std::uint64_t incarnation, std::uint64_t question);
+    void acknowledge(const std::string& member, std::uint64_t incarnation, std::uint64_t requestNumber);
     // Up to when all of these processes have told everything; never, if one has not answered, or another process of its
     // name has: what the one before had confirmed died with it.
-    double known_until(const std::map<std::string, std::uint64_t>& others) const;
+    double acknowledged_until(const std::map<std::string, std::uint64_t>& others) const;
 
   private:
     struct Answer {
         std::uint64_t incarnation = 0;
-        double askedS = 0;
+        double requestedS = 0;
     };
     std::uint64_t next_;
-    std::deque<std::pair<std::uint64_t, double>> asked_;
+    std::deque<std::pair<std::uint64_t, double>> requests_;
     std::map<std::string, Answer> answers_;
 };
 
-}  // namespace wellstair::model
+}  // namespace wellstair::leadership
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 
 namespace wellstair::net {
 
@@ -46,14 +46,14 @@
 
 class HttpClient {
   public:
-    HttpClient(asio::io_context& io, app::Endpoint endpoint) : io_(io), endpoint_(std::move(endpoint)) {}
+    HttpClient(asio::io_context& io, config::Endpoint endpoint) : io_(io), endpoint_(std::move(endpoint)) {}
     asio::awaitable<Reply> request(verb method, std::string target, std::string body, double timeoutS);
     void drop_idle() { idle_.clear(); }
 
   private:
     using Stream = boost::beast::tcp_stream;
     asio::io_context& io_;
-    app::Endpoint endpoint_;
+    config::Endpoint endpoint_;
     std::vector<std::unique_ptr<Stream>> idle_;
 };
 
--- a/src/placement/cache.hpp
+++ b/src/placement/cache.hpp
@@ -1,4 +1,4 @@
-// What a machine's image cache holds, derived from the states of its tasks: reports carry no image list.
+// What a machine's image cache holds, derived from the states of its tasks: heartbeats carry no image list.
 #pragma once
 
 #include <map>
--- a/src/placement/lem.cpp
+++ b/src/placement/lem.cpp
@@ -10,13 +10,13 @@
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
-void count_hall(Request& r, std::uint32_t hall) {
-    for (auto& [name, n] : r.inHall)
-        if (name == hall) {
+void count_zone(Request& r, std::uint32_t zone) {
+    for (auto& [name, n] : r.tasksPerZone)
+        if (name == zone) {
             ++n;
             return;
         }
-    r.inHall.emplace_back(hall, 1);
+    r.tasksPerZone.emplace_back(zone, 1);
 }
 
 Need least(const Need& a, const Need& b) {
@@ -64,12 +64,12 @@
         std::sort(m.holds.begin(), m.holds.end(), [](const Hold& a, const Hold& b) { return a.until < b.until; });
         free_.push_back(free_at(m, now_));
         promised_.push_back(std::any_of(m.holds.begin(), m.holds.end(), [&](const Hold& h) { return h.from > now_; }));
-        if (m.kind >= byKind_.size()) {
-            byKind_.resize(m.kind + 1);
-            roomiest_.resize(m.kind + 1);
+        if (m.nodePool >= byNodePool_.size()) {
+            byNodePool_.resize(m.nodePool + 1);
+            roomiest_.resize(m.nodePool + 1);
         }
-        byKind_[m.kind].push_back(i);
-        roomiest_[m.kind] = most(roomiest_[m.kind], free_.back());
+        byNodePool_[m.nodePool].push_back(i);
+        roomiest_[m.nodePool] = most(roomiest_[m.nodePool], free_.back());
     }
 }
 
@@ -122,9 +122,9 @@
 double Planner::score(const Machine& m, const Request& r, double start, double cachedAt, bool saturated) const {
     double ready = start, fetchS = m.fetchGbPerS > 0 ? r.imageGb / m.fetchGbPerS : 0;
     ready = cachedAt < 0 ? start + fetchS : std::max(start, cachedAt);
-    double care = m.handicapS + (r.need.gpus <= 0 && m.total.gpus > 0 ? weights_.gpuCareS : 0);
+    double care = m.penaltyS + (r.need.gpus <= 0 && m.total.gpus > 0 ? weights_.gpuHostPenaltyS : 0);
     // Small tasks side by side on few machines leave whole ones to wide tasks.
-    if (!m.busy && weights_.packCareS > 0 && times(m.total, r.need) > 1) care += weights_.packCareS;
+    if (!m.busy && weights_.emptyHostPenaltyS > 0 && times(m.total, r.need) > 1) care += weights_.emptyHostPenaltyS;
     if (!saturated) return ready + care;
     double penalty = 0;
     if (cachedAt < 0 && m.cacheGb > 0 && m.fetchGbPerS > 0 && m.cache)
@@ -132,19 +132,19 @@
     return start + weights_.w * (ready - start) + penalty + care;
 }
 
-bool Planner::hall_ok(const Request& r, std::uint32_t hall) const {
-    if (r.together)
-        for (const auto& [name, n] : r.inHall)
-            if (n > 0 && name != hall) return false;
-    if (r.scatter)
-        for (const auto& [name, n] : r.inHall)
-            if (name == hall && n >= r.scatterCap) return false;
+bool Planner::zone_allowed(const Request& r, std::uint32_t zone) const {
+    if (r.coLocated)
+        for (const auto& [name, n] : r.tasksPerZone)
+            if (n > 0 && name != zone) return false;
+    if (r.spread)
+        for (const auto& [name, n] : r.tasksPerZone)
+            if (name == zone && n >= r.spreadCap) return false;
     return true;
 }
 
 void Planner::hold(std::size_t i, double start, const Request& r) {
     Machine& m = machines_[i];
-    Hold h{start, start + std::max(r.expectS, 1e-3), r.need};
+    Hold h{start, start + std::max(r.estimatedDurationS, 1e-3), r.need};
     m.holds.insert(std::upper_bound(m.holds.begin(), m.holds.end(), h,
                                     [](const Hold& a, const Hold& b) { return a.until < b.until; }),
                    h);
@@ -162,7 +162,7 @@
 void Planner::reserve(std::size_t i, const Need& need, double until) {
     Request r;
     r.need = need;
-    r.expectS = until - now_;
+    r.estimatedDurationS = until - now_;
     hold(i, now_, r);
 }
 
@@ -170,22 +170,22 @@
 // queue behind full machines cheap.
 std::vector<std::size_t> Planner::candidates(const Request& r, bool startOnly) {
     std::vector<std::size_t> out;
-    for (std::size_t kind = 0; kind < byKind_.size(); ++kind) {
-        if (!r.allowed[kind] || byKind_[kind].empty()) continue;
-        if (!r.need.fits(machines_[byKind_[kind].front()].total)) continue;
+    for (std::size_t nodePool = 0; nodePool < byNodePool_.size(); ++nodePool) {
+        if (!r.allowed[nodePool] || byNodePool_[nodePool].empty()) continue;
+        if (!r.need.fits(machines_[byNodePool_[nodePool].front()].total)) continue;
         if (!startOnly) {
-            looked_ += byKind_[kind].size();
-            out.insert(out.end(), byKind_[kind].begin(), byKind_[kind].end());
+            looked_ += byNodePool_[nodePool].size();
+            out.insert(out.end(), byNodePool_[nodePool].begin(), byNodePool_[nodePool].end());
             continue;
         }
-        if (!r.need.fits(roomiest_[kind])) continue;
-        looked_ += byKind_[kind].size();
+        if (!r.need.fits(roomiest_[nodePool])) continue;
+        looked_ += byNodePool_[nodePool].size();
         Need room;
-        for (std::size_t i : byKind_[kind]) {
+        for (std::size_t i : byNodePool_[nodePool]) {
             room = most(room, free_[i]);
             if (r.need.fits(free_[i])) out.push_back(i);
         }
-        roomiest_[kind] = room;
+        roomiest_[nodePool] = room;
     }
     return out;
 }
@@ -195,17 +195,17 @@
 double Planner::promisable(std::size_t i, const Request& r, bool startOnly) const {
     constexpr std::size_t kMostHolds = 48;
     if ((startOnly || machines_[i].holds.size() > kMostHolds) && !r.need.fits(free_[i])) return kNever;
-    const double start = earliest(i, r.need, r.expectS);
+    const double start = earliest(i, r.need, r.estimatedDurationS);
     return start - now_ > kEndlessS / 2 ? kNever : start;  // room that a service holds gets free at no known time
 }
 
 // Replicas that share a machine or a zone are lost together.
-double Planner::apart_penalty(std::size_t i, const Request& r) const {
-    if (!r.apart) return 0;
+double Planner::anti_affinity_penalty(std::size_t i, const Request& r) const {
+    if (!r.antiAffine) return 0;
     double penalty =
-        weights_.apartMachineS * static_cast<double>(std::count(r.onMachines.begin(), r.onMachines.end(), i));
-    for (const auto& [hall, n] : r.inHall)
-        if (hall == machines_[i].hall) penalty += weights_.apartHallS * n;
+        weights_.sameHostPenaltyS * static_cast<double>(std::count(r.onMachines.begin(), r.onMachines.end(), i));
+    for (const auto& [zone, n] : r.tasksPerZone)
+        if (zone == machines_[i].zone) penalty += weights_.sameZonePenaltyS * n;
     return penalty;
 }
 
@@ -221,7 +221,8 @@
     auto rate = [&](std::size_t k) {
         Choice& c = choices[k];
         bool use = c.start != kNever && (!startOnly || c.start <= now_);
-        c.score = use ? score(machines_[among[k]], r, c.start, c.cached, full) + apart_penalty(among[k], r) : kNever;
+        c.score =
+            use ? score(machines_[among[k]], r, c.start, c.cached, full) + anti_affinity_penalty(among[k], r) : kNever;
     };
     for (std::size_t k = 0; k < among.size(); ++k) {
         const Machine& m = machines_[among[k]];
@@ -230,24 +231,24 @@
         choices[k].cached = m.cache ? m.cache->ready_at(r.image, now_) : -1;
         rate(k);
     }
-    bool bound = r.together || r.scatter;
+    bool bound = r.coLocated || r.spread;
     for (std::uint32_t n = 0; n < r.count; ++n) {
-        if (bool now = saturated(); now != full || (r.apart && n > 0)) {
+        if (bool now = saturated(); now != full || (r.antiAffine && n > 0)) {
             full = now;
             for (std::size_t k = 0; k < among.size(); ++k) rate(k);
         }
         std::size_t best = among.size();
         double bestScore = kNever;
         for (std::size_t k = 0; k < among.size(); ++k)
-            if (choices[k].score < bestScore && (!bound || hall_ok(r, machines_[among[k]].hall)))
+            if (choices[k].score < bestScore && (!bound || zone_allowed(r, machines_[among[k]].zone)))
                 bestScore = choices[k].score, best = k;
         looked_ += among.size() / 16;  // a comparison each, beside the full look above
         if (best == among.size()) break;
         Choice& c = choices[best];
         out.push_back({among[best], c.start});
         hold(among[best], c.start, r);
-        if (c.start <= now_) count_hall(r, machines_[among[best]].hall);
-        if (r.apart) r.onMachines.push_back(among[best]);
+        if (c.start <= now_) count_zone(r, machines_[among[best]].zone);
+        if (r.antiAffine) r.onMachines.push_back(among[best]);
         c.start = promisable(among[best], r, startOnly);
         rate(best);
     }
@@ -256,7 +257,7 @@
 
 std::uint32_t Planner::capacity(std::size_t i, const Request& r, double at) const {
     if (at <= now_ && !promised_[i]) return times(free_[i], r.need);
-    return times(free_from(machines_[i], at, r.expectS), r.need);
+    return times(free_from(machines_[i], at, r.estimatedDurationS), r.need);
 }
 
 std::optional<Planner::Fit> Planner::gang_at(const Request& r, const std::vector<std::size_t>& among, double at) {
@@ -269,7 +270,7 @@
     std::uint64_t fit = 0;
     looked_ += among.size();
     for (std::size_t i : among) {
-        std::uint32_t n = hall_ok(r, machines_[i].hall) ? std::min(capacity(i, r, at), r.count) : 0;
+        std::uint32_t n = zone_allowed(r, machines_[i].zone) ? std::min(capacity(i, r, at), r.count) : 0;
         if (n) choices.push_back({i, n, 0});
         fit += n;
     }
@@ -284,11 +285,11 @@
     Request left = r;
     Fit out;
     for (const Choice& c : choices)
-        for (std::uint32_t n = 0; n < c.fit && out.slots.size() < r.count && hall_ok(left, machines_[c.machine].hall);
-             ++n) {
+        for (std::uint32_t n = 0;
+             n < c.fit && out.slots.size() < r.count && zone_allowed(left, machines_[c.machine].zone); ++n) {
             out.slots.push_back({c.machine, at});
             out.score = c.score;  // of its last machine: it starts when all are ready
-            count_hall(left, machines_[c.machine].hall);
+            count_zone(left, machines_[c.machine].zone);
         }
     if (out.slots.size() < r.count) return std::nullopt;
     return out;
@@ -299,19 +300,19 @@
     std::vector<std::vector<std::size_t>> groups;
     auto split = [&](std::vector<std::size_t> all) {
         groups.clear();
-        if (!r.together || r.count == 1) {
+        if (!r.coLocated || r.count == 1) {
             groups.push_back(std::move(all));
             return;
         }
-        std::vector<std::uint32_t> halls;
+        std::vector<std::uint32_t> zones;
         for (std::size_t i : all) {
-            auto at = std::find(halls.begin(), halls.end(), machines_[i].hall);
-            if (at == halls.end()) {
-                halls.push_back(machines_[i].hall);
+            auto at = std::find(zones.begin(), zones.end(), machines_[i].zone);
+            if (at == zones.end()) {
+                zones.push_back(machines_[i].zone);
                 groups.emplace_back();
-                at = halls.end() - 1;
+                at = zones.end() - 1;
             }
-            groups[at - halls.begin()].push_back(i);
+            groups[at - zones.begin()].push_back(i);
         }
     };
     auto best = [&](double at) -> std::vector<Slot> {
--- a/src/placement/lem.hpp
+++ b/src/placement/lem.hpp
@@ -40,14 +40,14 @@
 };
 
 struct Machine {
-    std::uint32_t kind = 0;  // what Request::allowed is by: type, zone, spot or not
-    std::uint32_t hall = 0;
+    std::uint32_t nodePool = 0;  // what Request::allowed is by: type, zone, spot or not
+    std::uint32_t zone = 0;
     Need total;
     double cacheGb = 0, fetchGbPerS = 0;
     const ImageCache* cache = nullptr;
     std::vector<Hold> holds;  // what runs and what was promised
     bool busy = false;        // runs at least one task
-    double handicapS = 0;     // added to the score: machines under suspicion
+    double penaltyS = 0;      // added to the score: machines under suspicion
 };
 
 // What the machine's holds leave free at a moment.
@@ -56,14 +56,14 @@
 struct Request {
     Need need;
     std::string image;
-    double imageGb = 0, expectS = 0;
+    double imageGb = 0, estimatedDurationS = 0;
     std::uint32_t count = 0;
-    bool together = false, scatter = false;
-    std::uint32_t scatterCap = 0;                                 // most tasks in one zone
-    std::vector<std::pair<std::uint32_t, std::uint32_t>> inHall;  // tasks that the job already has per zone
-    std::vector<bool> allowed;                                    // by kind of machine
+    bool coLocated = false, spread = false;
+    std::uint32_t spreadCap = 0;                                        // most tasks in one zone
+    std::vector<std::pair<std::uint32_t, std::uint32_t>> tasksPerZone;  // tasks that the job already has per zone
+    std::vector<bool> allowed;                                          // by kind of machine
     // Replicas of a service: kept on different machines, then in different zones, where that costs little.
-    bool apart = false;
+    bool antiAffine = false;
     std::vector<std::size_t> onMachines;  // machines that have replicas of it, once for each
 };
 
@@ -73,10 +73,10 @@
 };
 
 struct Weights {
-    double w = 1;                              // weight of the load term in LEA
-    double gpuCareS = 0;                       // per machine: a task without GPUs on a machine that has them
-    double apartMachineS = 0, apartHallS = 0;  // per replica of the same service on the machine, in the zone
-    double packCareS = 0;                      // an empty machine of which a task leaves room for more of its kind
+    double w = 1;                                       // weight of the load term in LEA
+    double gpuHostPenaltyS = 0;                         // per machine: a task without GPUs on a machine that has them
+    double sameHostPenaltyS = 0, sameZonePenaltyS = 0;  // per replica of the same service on the machine, in the zone
+    double emptyHostPenaltyS = 0;  // an empty machine of which a task leaves room for more of its kind
     enum class Mode { mixed, eft, lea } mode = Mode::mixed;  // the last two for ablations
 };
 
@@ -101,9 +101,9 @@
   private:
     // `cachedAt`: when the image is usable there, -1 if absent.
     double score(const Machine& m, const Request& r, double start, double cachedAt, bool saturated) const;
-    double apart_penalty(std::size_t machine, const Request& r) const;
+    double anti_affinity_penalty(std::size_t machine, const Request& r) const;
     double promisable(std::size_t machine, const Request& r, bool startOnly) const;
-    bool hall_ok(const Request& r, std::uint32_t hall) const;
+    bool zone_allowed(const Request& r, std::uint32_t zone) const;
     void hold(std::size_t machine, double start, const Request& r);
     std::uint32_t capacity(std::size_t machine, const Request& r, double at) const;
     std::vector<std::size_t> candidates(const Request& r, bool startOnly);
@@ -117,10 +117,10 @@
     std::vector<Machine> machines_;
     Weights weights_;
     std::size_t idle_ = 0;
-    std::vector<Need> free_;                        // now, by machine
-    std::vector<bool> promised_;                    // has holds that begin later, by machine
-    std::vector<std::vector<std::size_t>> byKind_;  // machines of each kind
-    std::vector<Need> roomiest_;                    // at least the most that is free now on any machine of the kind
+    std::vector<Need> free_;                            // now, by machine
+    std::vector<bool> promised_;                        // has holds that begin later, by machine
+    std::vector<std::vector<std::size_t>> byNodePool_;  // machines of each kind
+    std::vector<Need> roomiest_;                        // at least the most that is free now on any machine of the kind
     std::uint64_t looked_ = 0;
 };
 
--- a/src/placement/overload.cpp
+++ b/src/placement/overload.cpp
@@ -24,7 +24,7 @@
             in.push_back(i);
             work += jobs[i].work;
             if (work <= capacity(i, jobs[i].due[level])) continue;
-            // Of equals the last one steps back.
+            // Of equals the last one tasks back.
             auto most = std::prev(std::max_element(in.rbegin(), in.rend(), [&](std::size_t a, std::size_t b) {
                                       return jobs[a].work < jobs[b].work;
                                   }).base());
--- a/src/placement/overload.hpp
+++ b/src/placement/overload.hpp
@@ -17,7 +17,7 @@
 using Capacity = std::function<double(std::size_t job, double due)>;
 
 // Moore and Hodgson's rule, level by level: by due time, and when one job would be late, the one with the most work
-// among those before it steps back, so that as many as possible are in time. Those that cannot be in time at any level
+// among those before it tasks back, so that as many as possible are in time. Those that cannot be in time at any level
 // come last, in the order given. `ahead`: what others take before all of them.
 std::vector<std::size_t> order_by_due(const std::vector<DueJob>& jobs, const Capacity& capacity, double ahead = 0);
 
--- a/src/placement/room.cpp
+++ b/src/placement/room.cpp
@@ -4,18 +4,18 @@
 
 namespace wellstair::placement {
 
-RoomCurve::RoomCurve(const std::vector<Machine>& machines, const Request& shape, double now) {
+RoomCurve::RoomCurve(const std::vector<Machine>& machines, const Request& request, double now) {
     std::uint32_t free = 0;
     for (const Machine& m : machines) {
-        if (!shape.allowed[m.kind] || !shape.need.fits(m.total)) continue;
-        all_ += times(m.total, shape.need);
+        if (!request.allowed[m.nodePool] || !request.need.fits(m.total)) continue;
+        all_ += times(m.total, request.need);
         Need room = free_at(m, now);
-        std::uint32_t fits = times(room, shape.need);
+        std::uint32_t fits = times(room, request.need);
         free += fits;
         for (const Hold& h : m.holds) {  // in the order of their ends
             if (h.from > now || h.until <= now) continue;
             room += h.need;
-            std::uint32_t more = times(room, shape.need);
+            std::uint32_t more = times(room, request.need);
             if (more > fits) free_.emplace_back(h.until - now, more - fits);
             fits = more;
         }
--- a/src/placement/room.hpp
+++ b/src/placement/room.hpp
@@ -10,7 +10,7 @@
 
 class RoomCurve {
   public:
-    RoomCurve(const std::vector<Machine>& machines, const Request& shape, double now);
+    RoomCurve(const std::vector<Machine>& machines, const Request& request, double now);
     // Tasks of the shape that the machines hold when nothing else is there.
     std::uint32_t all() const { return all_; }
     // Tasks that have room within so many seconds if nothing new starts, as a part of `all`.
--- a/src/placement/rental.cpp
+++ b/src/placement/scale_out.cpp
@@ -1,19 +1,19 @@
-#include "placement/rental.hpp"
+#include "placement/scale_out.hpp"
 
 #include <algorithm>
 #include <limits>
 
 namespace wellstair::placement {
 
-std::vector<Rental> choose_rentals(const std::vector<Offer>& offers, const std::vector<Want>& wants,
-                                   std::vector<std::uint32_t> coming, std::uint32_t most) {
+std::vector<ScaleOut> choose_scale_out(const std::vector<Offer>& offers, const std::vector<Want>& wants,
+                                       std::vector<std::uint32_t> pending, std::uint32_t most) {
     struct Box {
         std::size_t offer;
         Need room;
     };
     std::vector<Box> boxes;
     for (std::size_t i = 0; i < offers.size(); ++i)
-        for (std::uint32_t n = 0; n < coming[i]; ++n) boxes.push_back({i, offers[i].total});
+        for (std::uint32_t n = 0; n < pending[i]; ++n) boxes.push_back({i, offers[i].total});
     std::vector<std::uint32_t> rented(offers.size(), 0);
     std::uint32_t sum = 0;
     for (const Want& w : wants) {
@@ -44,7 +44,7 @@
             ++sum;
         }
     }
-    std::vector<Rental> out;
+    std::vector<ScaleOut> out;
     for (std::size_t i = 0; i < offers.size(); ++i)
         if (rented[i]) out.push_back({i, rented[i]});
     return out;
--- a/src/model/records.cpp
+++ b/src/state/records.cpp
@@ -1,8 +1,8 @@
-#include "model/records.hpp"
+#include "state/records.hpp"
 
 #include <algorithm>
 
-namespace wellstair::model {
+namespace wellstair::state {
 namespace {
 
 // The length of a text as JSON writes it, quotes included; an upper bound if it holds characters to be escaped.
@@ -48,7 +48,7 @@
 }
 
 Json LayoutRecord::encode() const {
-    return {{"v", version}, {"chunk", chunkSize}, {"width", rangeWidth}};
+    return {{"v", version}, {"chunk", chunkSize}, {"width", shardWidth}};
 }
 
 LayoutRecord LayoutRecord::decode(const Json& data) {
@@ -74,54 +74,55 @@
     return record;
 }
 
-Json encode_team_parts(const TeamParts& parts) {
+Json encode_quota_shares(const QuotaShares& parts) {
     Json data = Json::object();
     for (const auto& [member, part] : parts) data[member] = Json::array({part.cores, part.gpus});
     return data;
 }
 
-TeamParts decode_team_parts(const Json& data) {
-    TeamParts parts;
+QuotaShares decode_quota_shares(const Json& data) {
+    QuotaShares parts;
     for (const auto& [member, part] : data.items())
         parts[member] = {part[0].get<std::int64_t>(), part[1].get<std::int64_t>()};
     return parts;
 }
 
-Json encode_range(const std::vector<HostEntry>& hosts) {
-    Json keepers = Json::array(), builds = Json::array(), list = Json::array();
+Json encode_shard(const std::vector<HostEntry>& hosts) {
+    Json leaders = Json::array(), machineTypes = Json::array(), list = Json::array();
     for (const HostEntry& h : hosts) {
-        int keeper = h.keeper.empty() ? -1 : place_in(keepers, Json::array({h.keeper, h.incarnation}));
-        Json e = Json::array({h.name, keeper, h.baton, h.address, place_in(builds, h.build), h.loaner ? 1 : 0});
+        int leader = h.leader.empty() ? -1 : place_in(leaders, Json::array({h.leader, h.incarnation}));
+        Json e = Json::array(
+            {h.name, leader, h.fencingToken, h.address, place_in(machineTypes, h.machineType), h.spot ? 1 : 0});
         if (h.leaving != Leaving::no) {
             e.push_back(static_cast<int>(h.leaving));
             e.push_back(h.leavingAtS);
         }
         list.push_back(std::move(e));
     }
-    return {{"k", std::move(keepers)}, {"b", std::move(builds)}, {"h", std::move(list)}};
+    return {{"k", std::move(leaders)}, {"b", std::move(machineTypes)}, {"h", std::move(list)}};
 }
 
-std::vector<HostEntry> decode_range(const Json& data) {
-    std::vector<std::pair<std::string, std::uint64_t>> keepers;
-    std::vector<std::string> builds;
+std::vector<HostEntry> decode_shard(const Json& data) {
+    std::vector<std::pair<std::string, std::uint64_t>> leaders;
+    std::vector<std::string> machineTypes;
     std::vector<HostEntry> hosts;
     if (const Json* list = wire::list(data, "k"))
-        for (const Json& k : *list) keepers.emplace_back(k[0].get<std::string>(), k[1].get<std::uint64_t>());
+        for (const Json& k : *list) leaders.emplace_back(k[0].get<std::string>(), k[1].get<std::uint64_t>());
     if (const Json* list = wire::list(data, "b"))
-        for (const Json& b : *list) builds.push_back(b.get<std::string>());
+        for (const Json& b : *list) machineTypes.push_back(b.get<std::string>());
     const Json* list = wire::list(data, "h");
     if (!list) return hosts;
     for (const Json& e : *list) {
         HostEntry h;
         h.name = e[0].get<std::string>();
         if (int k = e[1].get<int>(); k >= 0) {
-            h.keeper = keepers.at(k).first;
-            h.incarnation = keepers.at(k).second;
+            h.leader = leaders.at(k).first;
+            h.incarnation = leaders.at(k).second;
         }
-        h.baton = e[2].get<std::uint64_t>();
+        h.fencingToken = e[2].get<std::uint64_t>();
         h.address = e[3].get<std::string>();
-        h.build = builds.at(e[4].get<std::size_t>());
-        h.loaner = e[5].get<int>() != 0;
+        h.machineType = machineTypes.at(e[4].get<std::size_t>());
+        h.spot = e[5].get<int>() != 0;
         if (e.size() > 6) {
             h.leaving = static_cast<Leaving>(e[6].get<int>());
             h.leavingAtS = e[7].get<std::int64_t>();
@@ -133,12 +134,12 @@
 
 namespace {
 
-// A machine as ["name",keeper,baton,"address",build,loaner], and of one that leaves ,leaving,at; without the places in
-// the tables.
+// A machine as ["name",leader,fencing token,"address",build,loaner], and of one that leaves ,leaving,at; without the
+// places in the tables.
 std::size_t host_size(const HostEntry& host) {
-    constexpr std::size_t kBracketsAndCommas = 7, kLoaner = 1, kLeavingAndCommas = 3;
-    std::size_t size = kBracketsAndCommas + kLoaner;
-    size += quoted_size(host.name) + quoted_size(host.address) + digits(host.baton);
+    constexpr std::size_t kBracketsAndCommas = 7, kSpot = 1, kLeavingAndCommas = 3;
+    std::size_t size = kBracketsAndCommas + kSpot;
+    size += quoted_size(host.name) + quoted_size(host.address) + digits(host.fencingToken);
     if (host.leaving != Leaving::no) size += kLeavingAndCommas + digits(static_cast<std::uint64_t>(host.leavingAtS));
     return size;
 }
@@ -151,33 +152,33 @@
 
 }  // namespace
 
-void RangeSize::add(const HostEntry& host) {
+void ShardSize::add(const HostEntry& host) {
     ++hosts_;
     hostBytes_ += host_size(host);
-    if (!host.keeper.empty()) ++keepers_[{host.keeper, host.incarnation}];
-    ++builds_[host.build];
+    if (!host.leader.empty()) ++leaders_[{host.leader, host.incarnation}];
+    ++machineTypes_[host.machineType];
 }
 
-void RangeSize::remove(const HostEntry& host) {
+void ShardSize::remove(const HostEntry& host) {
     --hosts_;
     hostBytes_ -= host_size(host);
-    if (!host.keeper.empty()) drop_one(keepers_, std::pair(host.keeper, host.incarnation));
-    drop_one(builds_, host.build);
+    if (!host.leader.empty()) drop_one(leaders_, std::pair(host.leader, host.incarnation));
+    drop_one(machineTypes_, host.machineType);
 }
 
-std::size_t RangeSize::bytes() const {
+std::size_t ShardSize::bytes() const {
     constexpr std::size_t kFrame = sizeof(R"({"b":[],"h":[],"k":[]})") - 1;
-    constexpr std::size_t kMinusOne = 2;  // "-1": no keeper
-    std::size_t size = kFrame + hostBytes_ + commas(hosts_) + commas(keepers_.size()) + commas(builds_.size());
-    for (const auto& [keeper, count] : keepers_) size += 3 + quoted_size(keeper.first) + digits(keeper.second);
-    for (const auto& [build, count] : builds_) size += quoted_size(build);
-    return size + hosts_ * (std::max(kMinusOne, digits(keepers_.size())) + digits(builds_.size()));
+    constexpr std::size_t kMinusOne = 2;  // "-1": no leader
+    std::size_t size = kFrame + hostBytes_ + commas(hosts_) + commas(leaders_.size()) + commas(machineTypes_.size());
+    for (const auto& [leader, count] : leaders_) size += 3 + quoted_size(leader.first) + digits(leader.second);
+    for (const auto& [machineType, count] : machineTypes_) size += quoted_size(machineType);
+    return size + hosts_ * (std::max(kMinusOne, digits(leaders_.size())) + digits(machineTypes_.size()));
 }
 
 std::size_t ChunkRecord::Entry::size_bound() const {
     constexpr std::size_t kBracketsAndCommas = 8;
-    return kBracketsAndCommas + digits(index) + digits(attempt) + quoted_size(host) + digits(baton) +
-           digits(static_cast<std::uint64_t>(atS)) + quoted_size(payer);
+    return kBracketsAndCommas + digits(index) + digits(attempt) + quoted_size(host) + digits(fencingToken) +
+           digits(static_cast<std::uint64_t>(atS)) + quoted_size(quotaOwner);
 }
 
 std::size_t ChunkRecord::size_bound() const {
@@ -189,21 +190,21 @@
 }
 
 Json ChunkRecord::encode() const {
-    Json ranges = Json::array(), list = Json::array();
-    for (const auto& [first, last] : done) ranges.push_back({first, last});
+    Json shards = Json::array(), list = Json::array();
+    for (const auto& [first, last] : done) shards.push_back({first, last});
     for (const Entry& e : entries) {
         if (e.host.empty())
             list.push_back({e.index, e.attempt, ""});
         else
-            list.push_back({e.index, e.attempt, e.host, e.baton, e.atS, e.payer});
+            list.push_back({e.index, e.attempt, e.host, e.fencingToken, e.atS, e.quotaOwner});
     }
-    return {{"d", std::move(ranges)}, {"e", std::move(list)}};
+    return {{"d", std::move(shards)}, {"e", std::move(list)}};
 }
 
 ChunkRecord ChunkRecord::decode(const Json& data) {
     ChunkRecord record;
-    if (const Json* ranges = wire::list(data, "d"))
-        for (const Json& r : *ranges) record.done.emplace_back(r[0].get<std::uint32_t>(), r[1].get<std::uint32_t>());
+    if (const Json* shards = wire::list(data, "d"))
+        for (const Json& r : *shards) record.done.emplace_back(r[0].get<std::uint32_t>(), r[1].get<std::uint32_t>());
     const Json* list = wire::list(data, "e");
     if (!list) return record;
     for (const Json& e : *list) {
@@ -212,13 +213,13 @@
         entry.attempt = e[1].get<std::uint32_t>();
         entry.host = e[2].get<std::string>();
         if (!entry.host.empty()) {
-            entry.baton = e[3].get<std::uint64_t>();
+            entry.fencingToken = e[3].get<std::uint64_t>();
             entry.atS = e[4].get<std::int64_t>();
-            entry.payer = e[5].get<std::string>();
+            entry.quotaOwner = e[5].get<std::string>();
         }
         record.entries.push_back(std::move(entry));
     }
     return record;
 }
 
-}  // namespace wellstair::model
+}  // namespace wellstair::state
--- a/src/model/records.hpp
+++ b/src/state/records.hpp
@@ -12,13 +12,13 @@
 
 #include "wire/codec.hpp"
 
-namespace wellstair::model {
+namespace wellstair::state {
 
 using wire::Json;
 
 // The layout of the stored keys that a process can write. Version 1 keeps all machines of a range under one key;
 // version 2 may divide a range into parts.
-inline constexpr std::uint32_t kLayoutWithParts = 2;
+inline constexpr std::uint32_t kLayoutWithSplitShards = 2;
 
 // `members/NAME`: one process, attached to its lease.
 struct MemberData {
@@ -33,7 +33,7 @@
 // `layout`: the durable switch to a newer layout, with what the names of keys were computed from.
 struct LayoutRecord {
     std::uint32_t version = 0;  // 0: no switch yet
-    std::uint32_t chunkSize = 0, rangeWidth = 0;
+    std::uint32_t chunkSize = 0, shardWidth = 0;
 
     Json encode() const;
     static LayoutRecord decode(const Json& data);
@@ -63,29 +63,29 @@
 }
 
 // `teams/NAME`: each controller's part of the team's limit, by controller.
-using TeamParts = std::map<std::string, Use>;
-Json encode_team_parts(const TeamParts& parts);
-TeamParts decode_team_parts(const Json& data);
+using QuotaShares = std::map<std::string, Use>;
+Json encode_quota_shares(const QuotaShares& parts);
+QuotaShares decode_quota_shares(const Json& data);
 
 enum class Leaving : std::uint8_t { no, marked, gone };  // gone: the cloud has said 200 to the return
 
 // One machine of a range.
 struct HostEntry {
-    std::string name, keeper, address, build;
+    std::string name, leader, address, machineType;
     std::uint64_t incarnation = 0;
-    std::uint64_t baton = 0;  // 0: never registered
-    bool loaner = false;
+    std::uint64_t fencingToken = 0;  // 0: never registered
+    bool spot = false;
     Leaving leaving = Leaving::no;
     std::int64_t leavingAtS = 0;
     bool operator==(const HostEntry&) const = default;
 };
 
 // `hosts/ZONE/RANGE`: the machines of a range or of a part of one.
-Json encode_range(const std::vector<HostEntry>& hosts);
-std::vector<HostEntry> decode_range(const Json& data);
+Json encode_shard(const std::vector<HostEntry>& hosts);
+std::vector<HostEntry> decode_shard(const Json& data);
 
 // An upper bound of the size of an encoded range, kept up without encoding it.
-class RangeSize {
+class ShardSize {
   public:
     void add(const HostEntry& host);
     void remove(const HostEntry& host);
@@ -93,18 +93,18 @@
 
   private:
     std::size_t hosts_ = 0, hostBytes_ = 0;
-    std::map<std::pair<std::string, std::uint64_t>, int> keepers_;  // how many machines have each
-    std::map<std::string, int> builds_;
+    std::map<std::pair<std::string, std::uint64_t>, int> leaders_;  // how many machines have each
+    std::map<std::string, int> machineTypes_;
 };
 
-// `steps/ID/CHUNK`: the tasks of a chunk that are done or have been given an attempt.
+// `tasks/ID/CHUNK`: the tasks of a chunk that are done or have been given an attempt.
 struct ChunkRecord {
     struct Entry {
         std::uint32_t index = 0, attempt = 0;
         std::string host;  // none: the task is open
-        std::uint64_t baton = 0;
+        std::uint64_t fencingToken = 0;
         std::int64_t atS = 0;
-        std::string payer;
+        std::string quotaOwner;
 
         // At least its size as JSON, with the comma behind it.
         std::size_t size_bound() const;
@@ -117,4 +117,4 @@
     std::size_t size_bound() const;
 };
 
-}  // namespace wellstair::model
+}  // namespace wellstair::state
--- a/src/model/machine.hpp
+++ b/src/state/state_machine.hpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace wellstair::model {
+namespace wellstair::state {
 
 // `Traits` names the states (`name`) and says which changes are legal (`allows`).
 template <class State, class Traits>
@@ -27,4 +27,4 @@
     State state_;
 };
 
-}  // namespace wellstair::model
+}  // namespace wellstair::state
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -13,7 +13,7 @@
 constexpr double kFairPart = 0.9;
 }  // namespace
 
-Budget::Budget(double total, int members, double now)
+RateLimiter::RateLimiter(double total, int members, double now)
     : members_(members),
       total_(total),
       fair_(kFairPart * total / members),
@@ -21,33 +21,33 @@
       tokens_(rate_),
       at_(now) {}
 
-void Budget::refill(double now) {
+void RateLimiter::refill(double now) {
     if (now > at_) tokens_ = std::min(rate_, tokens_ + (now - at_) * rate_);
     at_ = std::max(at_, now);
 }
 
-void Budget::spend(double n, double now) {
+void RateLimiter::spend(double n, double now) {
     refill(now);
     tokens_ -= n;
 }
 
-double Budget::wait_for(double n, double now) {
+double RateLimiter::wait_for(double n, double now) {
     refill(now);
     return std::max(0.0, (std::min(n, rate_) - tokens_) / rate_);
 }
 
-void Budget::served(double now) {
+void RateLimiter::served(double now) {
     refill(now);
     rate_ = std::min(kMostShare * total_, rate_ + kRegainPerS * total_ * 0.02);
 }
 
-void Budget::refused(double now) {
+void RateLimiter::refused(double now) {
     refill(now);
     rate_ = std::max(fair_, rate_ / 2);
     tokens_ = std::min(tokens_, 0.0);
 }
 
-void Budget::set_total(double total, double now) {
+void RateLimiter::set_total(double total, double now) {
     if (total == total_) return;
     refill(now);
     total_ = total;
@@ -60,7 +60,7 @@
     writes_.set_total(rps, net::steady_now());
 }
 
-Client::Client(asio::io_context& io, const app::Settings& s)
+Client::Client(asio::io_context& io, const config::Settings& s)
     : io_(io),
       http_(io, s.state),
       watch_(io, s.state),
@@ -86,19 +86,19 @@
     co_return r;
 }
 
-asio::awaitable<CommitResult> Client::commit(const Json& txn, int writes, double timeoutS) {
+asio::awaitable<CommitResult> Client::commit(const Json& transaction, int writes, double timeoutS) {
     CommitResult out;
     writes_.spend(writes, net::steady_now());
-    net::Reply r = co_await call(net::verb::post, "/commit", wire::encode(txn), timeoutS);
+    net::Reply r = co_await call(net::verb::post, "/commit", wire::encode(transaction), timeoutS);
     if (r.outcome == net::Reply::not_sent) {
         out.outcome = Outcome::unavailable;
         co_return out;
     }
     if (r.outcome == net::Reply::lost) co_return out;
     auto body = wire::decode(r.body);
-    if (body) out.epoch = wire::count(*body, "epoch").value_or(0);
+    if (body) out.revision = wire::count(*body, "epoch").value_or(0);
     if (r.status == 200) {
-        out.outcome = out.epoch ? Outcome::applied : Outcome::unknown;
+        out.outcome = out.revision ? Outcome::applied : Outcome::unknown;
         writes_.served(net::steady_now());
     } else if (r.status == 409) {
         out.outcome = Outcome::conflict;
@@ -130,18 +130,18 @@
     auto body = wire::decode(r.body);
     if (!body) co_return out;
     out.kind = FollowResult::ok;
-    out.epoch = wire::count(*body, "epoch").value_or(0);
-    if (const Json* news = wire::list(*body, "news"))
-        for (const Json& e : *news) {
+    out.revision = wire::count(*body, "epoch").value_or(0);
+    if (const Json* changes = wire::list(*body, "news"))
+        for (const Json& e : *changes) {
             Change c;
-            c.stamp = wire::count(e, "stamp").value_or(0);
+            c.revision = wire::count(e, "stamp").value_or(0);
             if (auto set = wire::text(e, "set")) {
                 c.path = *set;
                 c.data = e.value("data", Json());
             } else if (auto removed = wire::text(e, "remove")) {
                 c.path = *removed;
             }
-            out.news.push_back(std::move(c));
+            out.changes.push_back(std::move(c));
         }
     co_return out;
 }
@@ -164,7 +164,7 @@
                 Change c;
                 c.path = since;
                 c.data = e.value("data", Json());
-                c.stamp = wire::count(e, "stamp").value_or(0);
+                c.revision = wire::count(e, "stamp").value_or(0);
                 each(c);
             }
         if (!wire::flag(*body, "hasNext").value_or(false)) break;
@@ -182,8 +182,8 @@
     co_return wire::count(*reply, "hold");
 }
 
-asio::awaitable<Client::Renewal> Client::renew(std::uint64_t hold, double timeoutS) {
-    net::Reply r = co_await call(net::verb::post, "/grants/" + std::to_string(hold) + "/renew",
+asio::awaitable<Client::Renewal> Client::renew(std::uint64_t leaseId, double timeoutS) {
+    net::Reply r = co_await call(net::verb::post, "/grants/" + std::to_string(leaseId) + "/renew",
                                  wire::encode(Json::object()), timeoutS);
     if (r.ok()) co_return Renewal::renewed;
     if (r.outcome == net::Reply::answered && r.status == 404) co_return Renewal::ended;
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -14,9 +14,9 @@
 
 // A share of a rate that all controllers draw on. Grows slowly while requests are served and is cut when one is
 // refused, never below the even share.
-class Budget {
+class RateLimiter {
   public:
-    Budget(double total, int members, double now);
+    RateLimiter(double total, int members, double now);
     void spend(double n, double now);
     double wait_for(double n, double now);  // seconds until n can be spent, n at most the burst
     void served(double now);
@@ -33,38 +33,38 @@
 
 struct CommitResult {
     Outcome outcome = Outcome::unknown;
-    std::uint64_t epoch = 0;
+    std::uint64_t revision = 0;
     std::vector<std::string> failed;
 };
 
 struct Change {
     std::string path;
     std::optional<Json> data;  // nothing: removed
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
 };
 
 struct FollowResult {
     enum Kind { ok, gone, failed } kind = failed;
-    std::uint64_t epoch = 0;
-    std::vector<Change> news;
+    std::uint64_t revision = 0;
+    std::vector<Change> changes;
     double sentS = -1e9;  // steady time at which it was asked for: what it tells is no older than that
 };
 
 class Client {
   public:
-    Client(asio::io_context& io, const app::Settings& settings);
+    Client(asio::io_context& io, const config::Settings& settings);
 
-    asio::awaitable<CommitResult> commit(const Json& txn, int writes, double timeoutS);
+    asio::awaitable<CommitResult> commit(const Json& transaction, int writes, double timeoutS);
     asio::awaitable<FollowResult> follow(const std::string& prefix, std::uint64_t since, double waitS, double timeoutS);
     // All keys below the prefix; `epoch` is of the first page, where the watch has to begin. Nothing on failure.
     asio::awaitable<std::optional<std::pair<std::uint64_t, std::uint64_t>>> read_all(
         const std::string& prefix, std::function<void(const Change&)> each);
     asio::awaitable<std::optional<std::uint64_t>> grant(double ttlS, double timeoutS);
     enum class Renewal { renewed, ended, failed };
-    asio::awaitable<Renewal> renew(std::uint64_t hold, double timeoutS);
+    asio::awaitable<Renewal> renew(std::uint64_t leaseId, double timeoutS);
 
     double last_ok() const { return lastOk_; }  // steady time of the last served request of any kind, as it was sent
-    Budget& writes() { return writes_; }
+    RateLimiter& writes() { return writes_; }
     // The rate of writes that all controllers share.
     void set_write_rate(double rps);
 
@@ -73,7 +73,7 @@
                                      bool watch = false);
     asio::io_context& io_;
     net::HttpClient http_, watch_;
-    Budget requests_, writes_;
+    RateLimiter requests_, writes_;
     double lastOk_ = -1e9;
 };
 
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -7,7 +7,7 @@
 namespace wellstair::wire {
 namespace {
 
-constexpr std::array kRanks = {"production", "urgent", "standard", "best_effort"};
+constexpr std::array kPriorityClasses = {"production", "urgent", "standard", "best_effort"};
 constexpr std::array kPhases = {"pulling", "waiting", "running", "flushing", "ended"};
 constexpr std::array kCauses = {"", "done", "halted", "peers", "incomplete", "error", "full", "busy", "unknown"};
 
@@ -57,28 +57,28 @@
         else if (bad.empty())
             bad = std::string(key) + " must be true or false";
     };
-    need_text("ref", s.ref);
-    if (bad.empty() && !valid_job_ref(s.ref)) bad = "ref must look like j-000412";
-    need_text("lane", s.lane);
-    need_text("crew", s.crew);
-    need_text("bundle", s.bundle);
-    auto shape = text(body, "shape");
-    if (shape == "batch")
-        s.shape = Shape::batch;
-    else if (shape == "gang")
-        s.shape = Shape::gang;
-    else if (shape == "service")
-        s.shape = Shape::service;
+    need_text("ref", s.id);
+    if (bad.empty() && !valid_job_ref(s.id)) bad = "ref must look like j-000412";
+    need_text("lane", s.jobClass);
+    need_text("crew", s.team);
+    need_text("bundle", s.image);
+    auto kind = text(body, "shape");
+    if (kind == "batch")
+        s.kind = JobKind::batch;
+    else if (kind == "gang")
+        s.kind = JobKind::gang;
+    else if (kind == "service")
+        s.kind = JobKind::service;
     else if (bad.empty())
         bad = "shape must be batch, gang or service";
-    auto rank = named<Rank>(kRanks, text(body, "rank").value_or(""));
-    if (rank)
-        s.rank = *rank;
+    auto priority = named<PriorityClass>(kPriorityClasses, text(body, "rank").value_or(""));
+    if (priority)
+        s.priority = *priority;
     else if (bad.empty())
         bad = "rank must be production, urgent, standard or best_effort";
-    auto steps = count(body, "steps");
-    if (steps && *steps >= 1 && *steps <= kMaxSteps)
-        s.steps = static_cast<std::uint32_t>(*steps);
+    auto tasks = count(body, "steps");
+    if (tasks && *tasks >= 1 && *tasks <= kMaxTasks)
+        s.taskCount = static_cast<std::uint32_t>(*tasks);
     else if (bad.empty())
         bad = "steps must be an integer from 1 to 100000";
     need_amount("cores", s.cores);
@@ -86,64 +86,65 @@
     need_amount("ramGb", s.ramGb);
     need_amount("imageGb", s.imageGb);
     // A service has no run time to estimate.
-    if (!s.service() || !absent(body, "expectS")) need_amount("expectS", s.expectS);
-    if (s.service()) s.expectS = 0;
-    need_amount("snapshotS", s.snapshotS);
-    need_amount("flushS", s.flushS);
-    need_flag("together", s.together);
-    need_flag("scatter", s.scatter);
-    need_flag("loaners", s.loaners);
+    if (!s.service() || !absent(body, "expectS")) need_amount("expectS", s.estimatedDurationS);
+    if (s.service()) s.estimatedDurationS = 0;
+    need_amount("snapshotS", s.checkpointIntervalS);
+    need_amount("flushS", s.checkpointWriteS);
+    need_flag("together", s.coLocated);
+    need_flag("scatter", s.spread);
+    need_flag("loaners", s.spotAllowed);
     if (!absent(body, "builds")) {
-        const Json* builds = list(body, "builds");
-        if (!builds || !std::all_of(builds->begin(), builds->end(), [](const Json& b) { return b.is_string(); })) {
+        const Json* machineTypes = list(body, "builds");
+        if (!machineTypes ||
+            !std::all_of(machineTypes->begin(), machineTypes->end(), [](const Json& b) { return b.is_string(); })) {
             if (bad.empty()) bad = "builds must be a list of machine types, or null";
         } else {
-            s.builds = builds->get<std::vector<std::string>>();
+            s.machineTypes = machineTypes->get<std::vector<std::string>>();
         }
     }
     if (!absent(body, "hall")) {
-        s.hall = text(body, "hall");
-        if (!s.hall && bad.empty()) bad = "hall must be the name of a zone, or null";
+        s.zone = text(body, "hall");
+        if (!s.zone && bad.empty()) bad = "hall must be the name of a zone, or null";
     }
     if (!absent(body, "dueS")) {
-        s.dueS = amount(body, "dueS");
-        if ((!s.dueS || *s.dueS < 0) && bad.empty()) bad = "dueS must be a number of at least 0, or null";
+        s.deadlineS = amount(body, "dueS");
+        if ((!s.deadlineS || *s.deadlineS < 0) && bad.empty()) bad = "dueS must be a number of at least 0, or null";
     }
     if (!bad.empty()) return Invalid{bad};
     return s;
 }
 
 Json to_json(const JobSpec& s) {
-    Json j = {{"ref", s.ref},
-              {"lane", s.lane},
-              {"crew", s.crew},
-              {"shape", s.shape == Shape::gang      ? "gang"
-                        : s.shape == Shape::service ? "service"
-                                                    : "batch"},
-              {"rank", kRanks[static_cast<std::size_t>(s.rank)]},
-              {"steps", s.steps},
+    Json j = {{"ref", s.id},
+              {"lane", s.jobClass},
+              {"crew", s.team},
+              {"shape", s.kind == JobKind::gang      ? "gang"
+                        : s.kind == JobKind::service ? "service"
+                                                     : "batch"},
+              {"rank", kPriorityClasses[static_cast<std::size_t>(s.priority)]},
+              {"steps", s.taskCount},
               {"cores", s.cores},
               {"gpus", s.gpus},
               {"ramGb", s.ramGb},
-              {"bundle", s.bundle},
+              {"bundle", s.image},
               {"imageGb", s.imageGb},
-              {"together", s.together},
-              {"scatter", s.scatter},
-              {"loaners", s.loaners},
-              {"expectS", s.expectS},
-              {"snapshotS", s.snapshotS},
-              {"flushS", s.flushS}};
-    if (s.builds) j["builds"] = *s.builds;
-    if (s.hall) j["hall"] = *s.hall;
-    if (s.dueS) j["dueS"] = *s.dueS;
+              {"together", s.coLocated},
+              {"scatter", s.spread},
+              {"loaners", s.spotAllowed},
+              {"expectS", s.estimatedDurationS},
+              {"snapshotS", s.checkpointIntervalS},
+              {"flushS", s.checkpointWriteS}};
+    if (s.machineTypes) j["builds"] = *s.machineTypes;
+    if (s.zone) j["hall"] = *s.zone;
+    if (s.deadlineS) j["dueS"] = *s.deadlineS;
     return j;
 }
 
-std::string step_name(std::string_view job, std::uint32_t index) {
+std::string task_id(std::string_view job, std::uint32_t index) {
     return std::string(job) + "/" + std::to_string(index);
 }
 
-std::optional<std::pair<std::string, std::uint32_t>> parse_step(std::string_view name) {
+std::optional<std::pair<std::string, std::uint32_t>> parse_task_id(std::string_view name) {
     auto slash = name.rfind('/');
     if (slash == std::string_view::npos || slash == 0) return std::nullopt;
     std::uint32_t index = 0;
@@ -153,60 +154,59 @@
     return std::pair(std::string(name.substr(0, slash)), index);
 }
 
-std::optional<Report> parse_report(const Json& body) {
+std::optional<Heartbeat> parse_heartbeat(const Json& body) {
     auto host = text(body, "host");
-    auto tenure = count(body, "tenure");
-    auto tick = count(body, "tick");
-    if (!host || host->empty() || host->size() > 100 || !tenure || !tick) return std::nullopt;
-    Report r;
+    auto agentEpoch = count(body, "tenure");
+    auto sequence = count(body, "tick");
+    if (!host || host->empty() || host->size() > 100 || !agentEpoch || !sequence) return std::nullopt;
+    Heartbeat r;
     r.host = std::move(*host);
     r.address = text(body, "address").value_or("");
-    r.build = text(body, "build").value_or("");
-    r.hall = text(body, "hall").value_or("");
-    r.loaners = flag(body, "loaners").value_or(false);
-    r.tenure = *tenure;
-    r.tick = *tick;
-    r.baton = count(body, "baton").value_or(0);
-    r.reclaimS = amount(body, "reclaimS");
-    if (const Json* steps = list(body, "steps")) {
-        r.steps.reserve(steps->size());
-        for (const Json& e : *steps) {
-            auto name = parse_step(text(e, "step").value_or(""));
+    r.machineType = text(body, "build").value_or("");
+    r.zone = text(body, "hall").value_or("");
+    r.spot = flag(body, "loaners").value_or(false);
+    r.agentEpoch = *agentEpoch;
+    r.sequence = *sequence;
+    r.fencingToken = count(body, "baton").value_or(0);
+    r.preemptionNoticeS = amount(body, "reclaimS");
+    if (const Json* tasks = list(body, "steps")) {
+        r.tasks.reserve(tasks->size());
+        for (const Json& e : *tasks) {
+            auto name = parse_task_id(text(e, "step").value_or(""));
             auto attempt = count(e, "try");
             auto phase = named<TaskPhase>(kPhases, text(e, "phase").value_or(""));
             if (!name || !attempt || !phase) return std::nullopt;
-            TaskReport t;
+            TaskStatus t;
             t.job = std::move(name->first);
             t.index = name->second;
             t.attempt = static_cast<std::uint32_t>(*attempt);
             t.phase = *phase;
             t.cause = named<Cause>(kCauses, text(e, "cause").value_or("")).value_or(Cause::none);
-            t.kept = flag(e, "kept").value_or(false);
-            r.steps.push_back(std::move(t));
+            t.checkpointed = flag(e, "kept").value_or(false);
+            r.tasks.push_back(std::move(t));
         }
     }
     return r;
 }
 
-Json to_json(const Order& o) {
-    static constexpr std::array verbs = {"start", "halt", "reap"};
-    Json j = {
-        {"verb", verbs[static_cast<std::size_t>(o.verb)]}, {"step", step_name(o.job, o.index)}, {"try", o.attempt}};
-    if (o.verb == Verb::halt) j["windDownS"] = o.windDownS;
+Json to_json(const Command& o) {
+    static constexpr std::array types = {"start", "halt", "reap"};
+    Json j = {{"verb", types[static_cast<std::size_t>(o.type)]}, {"step", task_id(o.job, o.index)}, {"try", o.attempt}};
+    if (o.type == CommandType::stop) j["windDownS"] = o.gracePeriodS;
     return j;
 }
 
-Json to_json(const std::vector<Order>& orders) {
+Json to_json(const std::vector<Command>& commands) {
     Json j = Json::array();
-    for (const Order& o : orders) j.push_back(to_json(o));
+    for (const Command& o : commands) j.push_back(to_json(o));
     return j;
 }
 
 std::optional<MachineType> parse_type(const Json& b) {
-    auto sku = text(b, "sku");
-    if (!sku) return std::nullopt;
+    auto typeName = text(b, "sku");
+    if (!typeName) return std::nullopt;
     MachineType t;
-    t.sku = *sku;
+    t.typeName = *typeName;
     t.cores = amount(b, "cores").value_or(0);
     t.gpus = amount(b, "gpus").value_or(0);
     t.ramGb = amount(b, "ramGb").value_or(0);
@@ -215,29 +215,29 @@
     t.rate = amount(b, "rate").value_or(0);
     t.lowPrice = amount(b, "lowPrice").value_or(0);
     t.startupS = amount(b, "startupS").value_or(0);
-    if (const Json* halls = list(b, "halls"))
-        for (const Json& h : *halls)
-            if (h.is_string()) t.halls.push_back(h.get<std::string>());
+    if (const Json* zones = list(b, "halls"))
+        for (const Json& h : *zones)
+            if (h.is_string()) t.zones.push_back(h.get<std::string>());
     return t;
 }
 
 Json to_json(const MachineType& t) {
-    return {{"sku", t.sku},     {"cores", t.cores},       {"gpus", t.gpus},
-            {"ramGb", t.ramGb}, {"cacheGb", t.cacheGb},   {"fetchGbPerS", t.fetchGbPerS},
-            {"rate", t.rate},   {"lowPrice", t.lowPrice}, {"startupS", t.startupS},
-            {"halls", t.halls}};
+    return {{"sku", t.typeName}, {"cores", t.cores},       {"gpus", t.gpus},
+            {"ramGb", t.ramGb},  {"cacheGb", t.cacheGb},   {"fetchGbPerS", t.fetchGbPerS},
+            {"rate", t.rate},    {"lowPrice", t.lowPrice}, {"startupS", t.startupS},
+            {"halls", t.zones}};
 }
 
 std::optional<Machine> parse_machine(const Json& b) {
     auto ref = text(b, "ref");
     if (!ref) return std::nullopt;
     Machine m;
-    m.ref = *ref;
-    m.build = text(b, "build").value_or("");
-    m.hall = text(b, "hall").value_or("");
+    m.name = *ref;
+    m.machineType = text(b, "build").value_or("");
+    m.zone = text(b, "hall").value_or("");
     m.phase = text(b, "phase").value_or("");
     m.address = text(b, "address").value_or("");
-    m.loaners = flag(b, "loaners").value_or(false);
+    m.spot = flag(b, "loaners").value_or(false);
     m.heldS = amount(b, "heldS").value_or(0);
     return m;
 }
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -12,85 +12,85 @@
 
 namespace wellstair::wire {
 
-enum class Shape : std::uint8_t { batch, gang, service };  // service: independent tasks that run until cancelled
-enum class Rank : std::uint8_t { production, urgent, standard, best_effort };  // highest first
+enum class JobKind : std::uint8_t { batch, gang, service };  // service: independent tasks that run until cancelled
+enum class PriorityClass : std::uint8_t { production, urgent, standard, best_effort };  // highest first
 
 struct JobSpec {
-    std::string ref, lane, crew, bundle;
-    Shape shape = Shape::batch;
-    Rank rank = Rank::standard;
-    std::uint32_t steps = 0;
+    std::string id, jobClass, team, image;
+    JobKind kind = JobKind::batch;
+    PriorityClass priority = PriorityClass::standard;
+    std::uint32_t taskCount = 0;
     double cores = 0, gpus = 0, ramGb = 0, imageGb = 0;
-    std::optional<std::vector<std::string>> builds;
-    std::optional<std::string> hall;
-    bool together = false, scatter = false, loaners = false;
-    double expectS = 0, snapshotS = 0, flushS = 0;
-    std::optional<double> dueS;
+    std::optional<std::vector<std::string>> machineTypes;
+    std::optional<std::string> zone;
+    bool coLocated = false, spread = false, spotAllowed = false;
+    double estimatedDurationS = 0, checkpointIntervalS = 0, checkpointWriteS = 0;
+    std::optional<double> deadlineS;
 
-    bool service() const { return shape == Shape::service; }
+    bool service() const { return kind == JobKind::service; }
 };
 
 struct Invalid {
     std::string reason;
 };
 
-inline constexpr std::uint32_t kMaxSteps = 100000;
+inline constexpr std::uint32_t kMaxTasks = 100000;
 
 bool valid_job_ref(std::string_view ref);
 std::variant<JobSpec, Invalid> parse_job(const Json& body);
 Json to_json(const JobSpec& spec);
 
-enum class TaskPhase : std::uint8_t { pulling, waiting, running, flushing, ended };
-enum class Cause : std::uint8_t { none, done, halted, peers, incomplete, error, full, busy, unknown };
+enum class TaskPhase : std::uint8_t { pulling, waiting, running, checkpointing, ended };
+enum class Cause : std::uint8_t { none, done, stopped, gang_peer_lost, incomplete, error, full, busy, unknown };
 
-struct TaskReport {
+struct TaskStatus {
     std::string job;
     std::uint32_t index = 0;
     std::uint32_t attempt = 0;
     TaskPhase phase = TaskPhase::pulling;
     Cause cause = Cause::none;
-    bool kept = false;
+    bool checkpointed = false;
 };
 
-struct Report {
-    std::string host, address, build, hall;
-    bool loaners = false;
-    std::uint64_t tenure = 0, tick = 0, baton = 0;
-    std::optional<double> reclaimS;
-    std::vector<TaskReport> steps;
+struct Heartbeat {
+    std::string host, address, machineType, zone;
+    bool spot = false;
+    std::uint64_t agentEpoch = 0, sequence = 0, fencingToken = 0;
+    std::optional<double> preemptionNoticeS;
+    std::vector<TaskStatus> tasks;
 };
 
-std::optional<Report> parse_report(const Json& body);
+std::optional<Heartbeat> parse_heartbeat(const Json& body);
 
 // "j-000412/3" <-> job and index.
-std::string step_name(std::string_view job, std::uint32_t index);
-std::optional<std::pair<std::string, std::uint32_t>> parse_step(std::string_view name);
+std::string task_id(std::string_view job, std::uint32_t index);
+std::optional<std::pair<std::string, std::uint32_t>> parse_task_id(std::string_view name);
 
-enum class Verb : std::uint8_t { start, halt, reap };
+enum class CommandType : std::uint8_t { start, stop, acknowledge };
 
-struct Order {
-    Verb verb = Verb::start;
+struct Command {
+    CommandType type = CommandType::start;
     std::string job;
     std::uint32_t index = 0;
     std::uint32_t attempt = 0;
-    double windDownS = 0;
+    double gracePeriodS = 0;
 };
 
-Json to_json(const Order& order);
-Json to_json(const std::vector<Order>& orders);
+Json to_json(const Command& order);
+Json to_json(const std::vector<Command>& commands);
 
 struct MachineType {
-    std::string sku;
+    std::string typeName;
     double cores = 0, gpus = 0, ramGb = 0, cacheGb = 0, fetchGbPerS = 0, rate = 0, lowPrice = 0, startupS = 0;
-    std::vector<std::string> halls;
+    std::vector<std::string> zones;
 };
 
 std::optional<MachineType> parse_type(const Json& body);
 Json to_json(const MachineType& type);
 
 struct Machine {
-    std::string ref, build, hall, phase, address;
-    bool loaners = false;
+    std::string name, machineType, zone, phase, address;
+    bool spot = false;
     double heldS = 0;
 };
 
--- a/src/workers/channel.cpp
+++ b/src/workers/command_channel.cpp
@@ -1,4 +1,4 @@
-#include "workers/channel.hpp"
+#include "workers/command_channel.hpp"
 
 #include <boost/asio/ip/address_v4.hpp>
 #include <charconv>
@@ -6,7 +6,7 @@
 namespace wellstair::workers {
 
 // Room is made for a host's channel here: a kept connection to each of a thousand machines, beside those on which they
-// report, would be more sockets than there are.
+// heartbeat, would be more sockets than there are.
 bool Channels::make_ready(const std::string& host) {
     auto it = channels_.find(host);
     if (it != channels_.end()) return !it->second.busy;
@@ -19,8 +19,8 @@
     return true;
 }
 
-asio::awaitable<CommandResult> Channels::command(std::string host, std::string address, std::uint64_t baton,
-                                                 std::uint64_t tenure, std::vector<wire::Order> orders,
+asio::awaitable<CommandResult> Channels::command(std::string host, std::string address, std::uint64_t fencingToken,
+                                                 std::uint64_t agentEpoch, std::vector<wire::Command> commands,
                                                  double timeoutS) {
     CommandResult out;
     Channel& channel = channels_[host];
@@ -35,22 +35,22 @@
         if (colon == std::string::npos || ec || port == 0 || port > 65535) co_return out;
         channel.address = address;
         channel.http = std::make_shared<net::HttpClient>(
-            io_, app::Endpoint{address.substr(0, colon), static_cast<std::uint16_t>(port)});
+            io_, config::Endpoint{address.substr(0, colon), static_cast<std::uint16_t>(port)});
     }
     channel.busy = true;
     channel.used = ++uses_;
     auto http = channel.http;
     wire::Json body;
-    body["baton"] = baton;
-    body["tenure"] = tenure;
-    body["orders"] = to_json(orders);
+    body["baton"] = fencingToken;
+    body["tenure"] = agentEpoch;
+    body["orders"] = to_json(commands);
     net::Reply r = co_await http->request(net::verb::post, "/commands", wire::encode(body), timeoutS);
     if (auto it = channels_.find(host); it != channels_.end()) it->second.busy = false;
     if (r.outcome != net::Reply::answered) http->drop_idle();
     out.answered = r.outcome != net::Reply::lost;
     out.executed = r.ok();
     if (r.outcome == net::Reply::answered && (r.status == 200 || r.status == 409))
-        if (auto reply = wire::decode(r.body)) out.report = wire::parse_report(*reply);
+        if (auto reply = wire::decode(r.body)) out.heartbeat = wire::parse_heartbeat(*reply);
     co_return out;
 }
 
--- a/src/workers/channel.hpp
+++ b/src/workers/command_channel.hpp
@@ -15,7 +15,7 @@
 struct CommandResult {
     bool answered = true;  // false: it may still be executed, minutes later
     bool executed = false;
-    std::optional<wire::Report> report;
+    std::optional<wire::Heartbeat> heartbeat;
 };
 
 class Channels {
@@ -24,8 +24,9 @@
     Channels(asio::io_context& io, std::size_t most) : io_(io), most_(most) {}
     // A command can be sent there now: none is under way, and there is a connection for it, made room for if need be.
     bool make_ready(const std::string& host);
-    asio::awaitable<CommandResult> command(std::string host, std::string address, std::uint64_t baton,
-                                           std::uint64_t tenure, std::vector<wire::Order> orders, double timeoutS);
+    asio::awaitable<CommandResult> command(std::string host, std::string address, std::uint64_t fencingToken,
+                                           std::uint64_t agentEpoch, std::vector<wire::Command> commands,
+                                           double timeoutS);
     // Drops the channels of hosts that are not to be kept, unless a command is under way there.
     void prune(const std::function<bool(const std::string&)>& keep) {
         std::erase_if(channels_, [&](const auto& e) { return !e.second.busy && !keep(e.first); });
--- a/tests/golden_bytes_test.cpp
+++ b/tests/golden_bytes_test.cpp
@@ -5,9 +5,9 @@
 #include <fstream>
 #include <map>
 
-#include "model/records.hpp"
-#include "model/view.hpp"
 #include "peers/packet.hpp"
+#include "state/records.hpp"
+#include "state/state_cache.hpp"
 #include "wire/messages.hpp"
 
 namespace wellstair {
@@ -47,19 +47,19 @@
     std::map<std::string, std::string> kept_ = kept();
 };
 
-Json job_body(const char* shape, const char* rank) {
-    return {{"ref", "j-000412"}, {"lane", "train"},    {"crew", "vision"}, {"shape", shape},
-            {"rank", rank},      {"steps", 16},        {"cores", 8.0},     {"gpus", 1.0},
+Json job_body(const char* kind, const char* priority) {
+    return {{"ref", "j-000412"}, {"lane", "train"},    {"crew", "vision"}, {"shape", kind},
+            {"rank", priority},  {"steps", 16},        {"cores", 8.0},     {"gpus", 1.0},
             {"ramGb", 64.0},     {"bundle", "img-07"}, {"imageGb", 6.2},   {"builds", {"g8", "c8"}},
             {"hall", "a"},       {"together", true},   {"scatter", false}, {"loaners", true},
             {"expectS", 240.0},  {"snapshotS", 30.0},  {"flushS", 4.0},    {"dueS", 900.0}};
 }
 
 TEST_F(GoldenBytes, Jobs) {
-    for (const char* shape : {"batch", "gang", "service"})
-        for (const char* rank : {"production", "urgent", "standard", "best_effort"}) {
-            auto spec = std::get<wire::JobSpec>(wire::parse_job(job_body(shape, rank)));
-            check(std::string("job-") + shape + "-" + rank, to_json(spec));
+    for (const char* kind : {"batch", "gang", "service"})
+        for (const char* priority : {"production", "urgent", "standard", "best_effort"}) {
+            auto spec = std::get<wire::JobSpec>(wire::parse_job(job_body(kind, priority)));
+            check(std::string("job-") + kind + "-" + priority, to_json(spec));
         }
     Json least = job_body("batch", "standard");
     for (const char* key : {"builds", "hall", "dueS"}) least.erase(key);
@@ -68,23 +68,25 @@
 }
 
 TEST_F(GoldenBytes, Orders) {
-    std::vector<wire::Order> orders(3);
-    orders[0].verb = wire::Verb::start, orders[0].job = "j-000412", orders[0].index = 4, orders[0].attempt = 2;
-    orders[1].verb = wire::Verb::halt, orders[1].job = "j-000377", orders[1].index = 1, orders[1].attempt = 1;
-    orders[1].windDownS = 10;
-    orders[2].verb = wire::Verb::reap, orders[2].job = "j-000398", orders[2].attempt = 1;
-    check("orders", to_json(orders));
+    std::vector<wire::Command> commands(3);
+    commands[0].type = wire::CommandType::start, commands[0].job = "j-000412", commands[0].index = 4,
+    commands[0].attempt = 2;
+    commands[1].type = wire::CommandType::stop, commands[1].job = "j-000377", commands[1].index = 1,
+    commands[1].attempt = 1;
+    commands[1].gracePeriodS = 10;
+    commands[2].type = wire::CommandType::acknowledge, commands[2].job = "j-000398", commands[2].attempt = 1;
+    check("orders", to_json(commands));
 }
 
 TEST_F(GoldenBytes, MachineTypes) {
     wire::MachineType type;
-    type.sku = "g8", type.cores = 8, type.gpus = 2, type.ramGb = 32, type.cacheGb = 50, type.fetchGbPerS = 0.5;
-    type.rate = 9.25, type.lowPrice = 3.5, type.startupS = 20, type.halls = {"a", "b"};
+    type.typeName = "g8", type.cores = 8, type.gpus = 2, type.ramGb = 32, type.cacheGb = 50, type.fetchGbPerS = 0.5;
+    type.rate = 9.25, type.lowPrice = 3.5, type.startupS = 20, type.zones = {"a", "b"};
     check("machine-type", to_json(type));
     check("machine-type-read", to_json(*wire::parse_type(to_json(type))));
 }
 
-// What is read of a report and of the cloud's list, field by field.
+// What is read of a heartbeat and of the cloud's list, field by field.
 TEST_F(GoldenBytes, Reports) {
     Json body = {{"host", "n-000231"}, {"address", "10.1.0.232:9000"},
                  {"build", "g8"},      {"hall", "a"},
@@ -96,15 +98,15 @@
     for (const char* cause : {"done", "halted", "peers", "incomplete", "error", "full", "busy", "unknown"})
         body["steps"].push_back(
             {{"step", "j-000398/0"}, {"try", 1}, {"phase", "ended"}, {"cause", cause}, {"kept", true}});
-    auto r = wire::parse_report(body);
+    auto r = wire::parse_heartbeat(body);
     ASSERT_TRUE(r);
-    std::string out = r->host + " " + r->address + " " + r->build + " " + r->hall + " " + (r->loaners ? "y" : "n") +
-                      " " + std::to_string(r->tenure) + " " + std::to_string(r->tick) + " " + std::to_string(r->baton) +
-                      " " + std::to_string(*r->reclaimS);
-    for (const wire::TaskReport& t : r->steps)
+    std::string out = r->host + " " + r->address + " " + r->machineType + " " + r->zone + " " + (r->spot ? "y" : "n") +
+                      " " + std::to_string(r->agentEpoch) + " " + std::to_string(r->sequence) + " " +
+                      std::to_string(r->fencingToken) + " " + std::to_string(*r->preemptionNoticeS);
+    for (const wire::TaskStatus& t : r->tasks)
         out += " " + t.job + "/" + std::to_string(t.index) + "#" + std::to_string(t.attempt) + ":" +
                std::to_string(static_cast<int>(t.phase)) + std::to_string(static_cast<int>(t.cause)) +
-               (t.kept ? "y" : "n");
+               (t.checkpointed ? "y" : "n");
     check("report-read", out);
 
     auto m = wire::parse_machine({{"ref", "n-000231"},
@@ -115,49 +117,51 @@
                                   {"loaners", true},
                                   {"heldS", 7.5}});
     ASSERT_TRUE(m);
-    check("machine-read", m->ref + " " + m->build + " " + m->hall + " " + m->phase + " " + m->address + " " +
-                              (m->loaners ? "y" : "n") + " " + std::to_string(m->heldS));
+    check("machine-read", m->name + " " + m->machineType + " " + m->zone + " " + m->phase + " " + m->address + " " +
+                              (m->spot ? "y" : "n") + " " + std::to_string(m->heldS));
 }
 
 TEST_F(GoldenBytes, Records) {
-    check("member", model::MemberData{0x1234567890abcdefull, "a", 2}.encode());
-    check("member-without-layout", model::MemberData{17, "a", 0}.encode());
-    check("layout", model::LayoutRecord{2, 26, 102}.encode());
-    check("active", model::ActiveRecord{"stairhost-1", std::nullopt, false, 0}.encode());
-    check("active-stopped", model::ActiveRecord{"stairhost-1", 3, false, 0}.encode());
-    check("active-cancelled", model::ActiveRecord{"stairhost-1", std::nullopt, true, 1'000'300}.encode());
-    check("team-parts", model::encode_team_parts({{"a", {8000, 1000}}, {"b", {250, 0}}}));
-
-    model::HostEntry kept, leaving, fresh;
-    kept.name = "n-000001", kept.keeper = "a", kept.address = "10.1.0.1:9000", kept.build = "c8";
-    kept.incarnation = 21, kept.baton = 41, kept.loaner = true;
+    check("member", state::MemberData{0x1234567890abcdefull, "a", 2}.encode());
+    check("member-without-layout", state::MemberData{17, "a", 0}.encode());
+    check("layout", state::LayoutRecord{2, 26, 102}.encode());
+    check("active", state::ActiveRecord{"stairhost-1", std::nullopt, false, 0}.encode());
+    check("active-stopped", state::ActiveRecord{"stairhost-1", 3, false, 0}.encode());
+    check("active-cancelled", state::ActiveRecord{"stairhost-1", std::nullopt, true, 1'000'300}.encode());
+    check("team-parts", state::encode_quota_shares({{"a", {8000, 1000}}, {"b", {250, 0}}}));
+
+    state::HostEntry kept, leaving, fresh;
+    kept.name = "n-000001", kept.leader = "a", kept.address = "10.1.0.1:9000", kept.machineType = "c8";
+    kept.incarnation = 21, kept.fencingToken = 41, kept.spot = true;
     leaving = kept;
-    leaving.name = "n-000002", leaving.leaving = model::Leaving::marked, leaving.leavingAtS = 1'000'300;
-    fresh.name = "n-000003", fresh.leaving = model::Leaving::gone, fresh.leavingAtS = 5;
-    check("range", model::encode_range({kept, leaving, fresh}));
-    check("range-read", model::encode_range(model::decode_range(model::encode_range({kept, leaving, fresh}))));
+    leaving.name = "n-000002", leaving.leaving = state::Leaving::marked, leaving.leavingAtS = 1'000'300;
+    fresh.name = "n-000003", fresh.leaving = state::Leaving::gone, fresh.leavingAtS = 5;
+    check("range", state::encode_shard({kept, leaving, fresh}));
+    check("range-read", state::encode_shard(state::decode_shard(state::encode_shard({kept, leaving, fresh}))));
 
-    model::ChunkRecord chunk;
+    state::ChunkRecord chunk;
     chunk.done = {{0, 3}, {7, 7}};
     chunk.entries = {{4, 2, "n-000001", 41, 1'000'300, "a"}, {5, 3, "", 0, 0, ""}};
     check("chunk", chunk.encode());
-    check("chunk-read", model::ChunkRecord::decode(chunk.encode()).encode());
+    check("chunk-read", state::ChunkRecord::decode(chunk.encode()).encode());
 }
 
 TEST_F(GoldenBytes, Keys) {
-    namespace keys = model::keys;
+    namespace keys = state::keys;
     check("keys", keys::member("a") + " " + keys::job("j-1") + " " + keys::active("j-1") + " " + keys::chunk("j-1", 2) +
                       " " + keys::team("red") + " " + keys::placer("a") + " " + keys::kCloudRole + " " + keys::kTypes +
-                      " " + keys::kLayout + " " + keys::range_part("ws/hosts/a/3", 4) + " " +
-                      model::range_key("n-000231", "a", 102));
+                      " " + keys::kLayout + " " + keys::split_shard_key("ws/hosts/a/3", 4) + " " +
+                      state::shard_key("n-000231", "a", 102));
 }
 
 TEST_F(GoldenBytes, PeerPackets) {
-    peers::Hint hint{"stairhost-1", 0x1234567890abcdefull, 1.25, true, {{"n-000001", false}, {"n-000017", true}}};
-    hint.question = 0xfedcba9876543210ull, hint.answered = 17, hint.cancelled = {"j-000412", "j-000413"};
-    check("peer-packet", hex(pack(hint)));
-    hint.live = false, hint.unusable.clear(), hint.cancelled.clear();
-    check("peer-packet-empty", hex(pack(hint)));
+    peers::PeerStatus peerStatus{
+        "stairhost-1", 0x1234567890abcdefull, 1.25, true, {{"n-000001", false}, {"n-000017", true}}};
+    peerStatus.requestNumber = 0xfedcba9876543210ull, peerStatus.acknowledged = 17,
+    peerStatus.cancelled = {"j-000412", "j-000413"};
+    check("peer-packet", hex(pack(peerStatus)));
+    peerStatus.serving = false, peerStatus.unusable.clear(), peerStatus.cancelled.clear();
+    check("peer-packet-empty", hex(pack(peerStatus)));
 }
 
 }  // namespace
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -2,8 +2,8 @@
 
 #include "placement/lem.hpp"
 #include "placement/overload.hpp"
-#include "placement/rental.hpp"
 #include "placement/room.hpp"
+#include "placement/scale_out.hpp"
 
 using namespace wellstair::placement;
 
@@ -16,7 +16,7 @@
         for (int i = 0; i < n; ++i) caches.emplace_back(10.0);
         for (int i = 0; i < n; ++i) {
             Machine m;
-            m.hall = i % 2;
+            m.zone = i % 2;
             m.total = {8, 0, 32};
             m.cacheGb = 10, m.fetchGbPerS = 0.1;
             m.cache = &caches[i];
@@ -32,7 +32,7 @@
 Request request(std::size_t machines, std::uint32_t count = 1) {
     Request r;
     r.need = {8, 0, 8};
-    r.image = "img", r.imageGb = 1, r.expectS = 50, r.count = count;
+    r.image = "img", r.imageGb = 1, r.estimatedDurationS = 50, r.count = count;
     r.allowed.assign(machines, true);
     return r;
 }
@@ -77,9 +77,9 @@
     Planner p(100, s.machines, {});
     EXPECT_EQ(p.place_batch(request(1), false)[0].start, 130);
     Request small = request(1);
-    small.need = {4, 0, 4}, small.expectS = 50;
+    small.need = {4, 0, 4}, small.estimatedDurationS = 50;
     EXPECT_GT(p.place_batch(small, false)[0].start, 100);
-    small.expectS = 20;
+    small.estimatedDurationS = 20;
     EXPECT_EQ(p.place_batch(small, false)[0].start, 100);
 }
 
@@ -106,17 +106,17 @@
 
 TEST(Lem, ZonesOfAGang) {
     Site s(4);  // zones a, b, a, b
-    Request together = request(4, 2);
-    together.together = true;
-    auto slots = Planner(100, s.machines, {}).place_gang(together, true);
+    Request coLocated = request(4, 2);
+    coLocated.coLocated = true;
+    auto slots = Planner(100, s.machines, {}).place_gang(coLocated, true);
     ASSERT_EQ(slots.size(), 2u);
-    EXPECT_EQ(s.machines[slots[0].machine].hall, s.machines[slots[1].machine].hall);
-    Request scatter = request(4, 3);
-    scatter.scatter = true, scatter.scatterCap = 2;
-    slots = Planner(100, s.machines, {}).place_gang(scatter, true);
+    EXPECT_EQ(s.machines[slots[0].machine].zone, s.machines[slots[1].machine].zone);
+    Request spread = request(4, 3);
+    spread.spread = true, spread.spreadCap = 2;
+    slots = Planner(100, s.machines, {}).place_gang(spread, true);
     ASSERT_EQ(slots.size(), 3u);
     int inA = 0;
-    for (const auto& slot : slots) inA += s.machines[slot.machine].hall == 0;
+    for (const auto& slot : slots) inA += s.machines[slot.machine].zone == 0;
     EXPECT_LE(inA, 2);
     EXPECT_GE(inA, 1);
 }
@@ -136,7 +136,7 @@
 }
 
 TEST(Overload, AsManyAsPossibleAreInTime) {
-    // One job of 100 s would make the three short ones late; it steps back.
+    // One job of 100 s would make the three short ones late; it tasks back.
     std::vector<DueJob> jobs = {{100, 10, {110, 300}}, {30, 10, {120}}, {30, 10, {130}}, {30, 10, {140}}};
     auto rate = [](std::size_t, double due) { return due; };
     EXPECT_EQ(order_by_due(jobs, rate), (std::vector<std::size_t>{1, 2, 3, 0}));
@@ -145,7 +145,7 @@
     EXPECT_EQ(order_by_due(jobs, rate), (std::vector<std::size_t>{2, 0, 1}));
 }
 
-// On full machines, what counts is what gets free in time: the wide job that would make the small ones late steps back,
+// On full machines, what counts is what gets free in time: the wide job that would make the small ones late tasks back,
 // and is still before those that are late anyway.
 TEST(Overload, OrderFollowsTheRoomThatGetsFree) {
     std::vector<Machine> machines(4);
@@ -153,9 +153,9 @@
         machines[i].total = {16, 0, 64};
         machines[i].holds = {{0, 10.0 * (i + 1), {15, 0, 26}}};  // one gets free every 10 s
     }
-    Request shape;
-    shape.need = {15, 0, 26}, shape.allowed = {true};
-    RoomCurve room(machines, shape, 0);
+    Request kind;
+    kind.need = {15, 0, 26}, kind.allowed = {true};
+    RoomCurve room(machines, kind, 0);
     EXPECT_EQ(room.all(), 4u);
     EXPECT_EQ(room.within(9), 0);
     EXPECT_EQ(room.within(10), 0.25);
@@ -168,18 +168,18 @@
     EXPECT_EQ(order_by_due(jobs, by, 0.25), (std::vector<std::size_t>{1, 2, 0, 3}));
 }
 
-TEST(Rental, CheapestPerTaskAndWhatIsComingIsFilledFirst) {
+TEST(ScaleOut, CheapestPerTaskAndWhatIsComingIsFilledFirst) {
     std::vector<Offer> offers(2);
     offers[0].total = {8, 0, 32}, offers[0].rate = 1;
     offers[1].total = {64, 0, 256}, offers[1].rate = 4;
     Want w{{8, 0, 8}, 9, {true, true}};
-    auto r = choose_rentals(offers, {w}, {0, 0}, 20);
+    auto r = choose_scale_out(offers, {w}, {0, 0}, 20);
     ASSERT_EQ(r.size(), 2u);
     EXPECT_EQ(r[0].number, 1u);
     EXPECT_EQ(r[1].number, 1u);
-    EXPECT_TRUE(choose_rentals(offers, {w}, {1, 1}, 20).empty());
+    EXPECT_TRUE(choose_scale_out(offers, {w}, {1, 1}, 20).empty());
     offers[0].refused = offers[1].refused = true;
-    EXPECT_TRUE(choose_rentals(offers, {w}, {0, 0}, 20).empty());
+    EXPECT_TRUE(choose_scale_out(offers, {w}, {0, 0}, 20).empty());
 }
 
 // A gang starts when the last of its machines is ready: the zone where that is soonest is taken, not the first that has
@@ -191,10 +191,10 @@
     s.caches[3].ready("img", 1, 0);
     Planner p(100, s.machines, {});
     Request r = request(4, 2);
-    r.together = true;
+    r.coLocated = true;
     auto slots = p.place_gang(r, false);
     ASSERT_EQ(slots.size(), 2u);
-    for (const auto& slot : slots) EXPECT_EQ(s.machines[slot.machine].hall, 1u);
+    for (const auto& slot : slots) EXPECT_EQ(s.machines[slot.machine].zone, 1u);
 }
 
 // Small tasks fill up machines that are in use already, so that wide ones find whole machines; not at the price of a
@@ -208,7 +208,7 @@
         else
             for (auto& c : s.caches) c.ready("img", 1, 0);
         Weights weights;
-        weights.packCareS = 2;
+        weights.emptyHostPenaltyS = 2;
         Planner p(100, s.machines, weights);
         Request r = request(2);
         r.need = {2, 0, 2};
--- a/tests/production_data.hpp
+++ b/tests/production_data.hpp
@@ -38,17 +38,17 @@
     auto changes = production_state();
     for (std::size_t i = 0; i < changes.size();) {
         wire::Json apply = wire::Json::array();
-        const std::uint64_t stamp = changes[i].stamp;
-        for (; i < changes.size() && changes[i].stamp == stamp; ++i) {
+        const std::uint64_t revision = changes[i].revision;
+        for (; i < changes.size() && changes[i].revision == revision; ++i) {
             if (changes[i].data)
                 apply.push_back({{"set", changes[i].path}, {"data", *changes[i].data}});
             else
                 apply.push_back({{"remove", changes[i].path}});
         }
-        wire::Json txn;
-        txn["when"] = wire::Json::array();
-        txn["apply"] = std::move(apply);
-        store.commit(txn);
+        wire::Json transaction;
+        transaction["when"] = wire::Json::array();
+        transaction["apply"] = std::move(apply);
+        store.commit(transaction);
     }
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,11 +1,11 @@
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 
 #include <gtest/gtest.h>
 
 #include <cstdio>
 #include <fstream>
 
-using namespace wellstair::app;
+using namespace wellstair::config;
 
 namespace {
 
--- a/tests/stored_story.hpp
+++ b/tests/stored_story.hpp
@@ -13,15 +13,15 @@
 namespace wellstair::test {
 
 // What a process writes about itself when it registers.
-using MemberValue = std::function<wire::Json(const controller::Core&, const app::Settings&)>;
+using MemberValue = std::function<wire::Json(const controller::Core&, const config::Settings&)>;
 
 class StoredStory {
   public:
     static constexpr int kMachines = 400;  // of one zone: each of its six ranges takes more than 2 KiB
 
-    StoredStory(app::Settings settings, MemberValue member) : member_(std::move(member)) {
+    StoredStory(config::Settings settings, MemberValue member) : member_(std::move(member)) {
         settings.teams = {{"red", 16, 400, 0, 0}, {"blue", 8, 0, 0, 0}};
-        settings.valueKb = 8, settings.txnOps = 16;
+        settings.valueKb = 8, settings.transactionOperations = 16;
         a_.settings = b_.settings = settings;
         a_.settings.member = "a", a_.settings.location = "a", a_.settings.members = {{"b", "b", {}}};
         b_.settings.member = "b", b_.settings.location = "b", b_.settings.members = {{"a", "a", {}}};
@@ -44,38 +44,39 @@
         machine_leaves("n-000007", false);
         machine_leaves("n-000008", false);
         machine_leaves("n-000008", true);
-        auto role = a_.core->new_draft();
+        auto role = a_.core->new_transaction();
         a_.core->take_cloud_role(role, 0);
         commit(role);
         return store_.log;
     }
 
-    static peers::Hint hint() {
-        peers::Hint h{"stairhost-1", 0x1234567890abcdefull, 1.25, true, {{"n-000001", false}, {"n-000017", true}}};
-        h.question = 0xfedcba9876543210ull, h.answered = 17, h.cancelled = {"j-000412", "j-000413"};
+    static peers::PeerStatus peerStatus() {
+        peers::PeerStatus h{
+            "stairhost-1", 0x1234567890abcdefull, 1.25, true, {{"n-000001", false}, {"n-000017", true}}};
+        h.requestNumber = 0xfedcba9876543210ull, h.acknowledged = 17, h.cancelled = {"j-000412", "j-000413"};
         return h;
     }
 
   private:
     struct Controller {
-        app::Settings settings;
+        config::Settings settings;
         std::unique_ptr<controller::Core> core;
     };
-    controller::Moment now() const { return {time_, 1'000'000 + time_}; }
+    controller::Timestamp now() const { return {time_, 1'000'000 + time_}; }
 
     void write(wire::Json apply) { store_.commit({{"when", wire::Json::array()}, {"apply", std::move(apply)}}); }
 
     void sync(Controller& c) {
-        auto& view = c.core->view();
+        auto& state = c.core->state();
         for (const auto& change : store_.log)
-            if (change.stamp > view.epoch())
-                view.apply(change.path, change.data ? &*change.data : nullptr, change.stamp, now().wall);
-        view.advance(store_.epoch);
-        c.core->touch_all();
+            if (change.revision > state.revision())
+                state.apply(change.path, change.data ? &*change.data : nullptr, change.revision, now().wall);
+        state.advance(store_.revision);
+        c.core->request_replan();
     }
 
-    bool commit(const controller::Draft& draft) {
-        bool ok = !draft.empty() && store_.commit(draft.build().body).starts_with("ok");
+    bool commit(const state::TransactionBuilder& builder) {
+        bool ok = !builder.empty() && store_.commit(builder.build().body).starts_with("ok");
         sync(a_);
         sync(b_);
         return ok;
@@ -86,63 +87,63 @@
         sync(c);
         write({{{"set", "ws/members/" + c.settings.member}, {"data", member_(*c.core, c.settings)}}});
         sync(c);
-        c.core->set_view_ready(true);
-        c.core->set_member_state(model::MemberState::live, now());
+        c.core->set_state_ready(true);
+        c.core->set_availability(state::Availability::serving, now());
     }
 
     void rounds(Controller& c) {
         for (int i = 0; i < 40; ++i) {
             time_ += 0.25;
-            c.core->tick(now());
+            c.core->advance_time(now());
             commit(c.core->round(now()));
         }
     }
 
-    wire::Report report(int machine, std::uint64_t tick) {
+    wire::Heartbeat heartbeat(int machine, std::uint64_t sequence) {
         char name[16];
         std::snprintf(name, sizeof name, "n-%06d", machine);
-        wire::Report r;
-        r.host = name, r.address = "10.1.0." + std::to_string(machine) + ":9000", r.build = "c8", r.hall = "a";
-        r.loaners = machine % 5 == 0;
-        r.tenure = 1, r.tick = tick;
-        if (auto* h = a_.core->view().host(name)) r.baton = h->baton;
+        wire::Heartbeat r;
+        r.host = name, r.address = "10.1.0." + std::to_string(machine) + ":9000", r.machineType = "c8", r.zone = "a";
+        r.spot = machine % 5 == 0;
+        r.agentEpoch = 1, r.sequence = sequence;
+        if (auto* h = a_.core->state().host(name)) r.fencingToken = h->fencingToken;
         return r;
     }
 
     void register_machines() {
-        for (int m = 1; m <= kMachines; ++m) a_.core->check_in(report(m, 1), now());
+        for (int m = 1; m <= kMachines; ++m) a_.core->handle_heartbeat(heartbeat(m, 1), now());
         rounds(a_);
-        for (int m = 1; m <= kMachines; ++m) a_.core->check_in(report(m, 2), now());
+        for (int m = 1; m <= kMachines; ++m) a_.core->handle_heartbeat(heartbeat(m, 2), now());
     }
 
-    void submit(const std::string& id, const std::string& shape, int steps, const std::string& team) {
-        wire::Json body = {{"ref", id},        {"lane", "work"},   {"crew", team},     {"shape", shape},
-                           {"rank", "urgent"}, {"steps", steps},   {"cores", 4.0},     {"gpus", 0.0},
-                           {"ramGb", 4.0},     {"bundle", "img"},  {"imageGb", 1.0},   {"together", shape == "gang"},
+    void submit(const std::string& id, const std::string& kind, int tasks, const std::string& team) {
+        wire::Json body = {{"ref", id},        {"lane", "work"},   {"crew", team},     {"shape", kind},
+                           {"rank", "urgent"}, {"steps", tasks},   {"cores", 4.0},     {"gpus", 0.0},
+                           {"ramGb", 4.0},     {"bundle", "img"},  {"imageGb", 1.0},   {"together", kind == "gang"},
                            {"scatter", false}, {"loaners", true},  {"expectS", 300.0}, {"snapshotS", 10.0},
                            {"flushS", 2.0},    {"builds", {"c8"}}, {"dueS", 900.0}};
         auto parsed = wire::parse_job(body);
-        auto draft = a_.core->new_draft();
-        draft.submit(std::get<wire::JobSpec>(parsed), "a", static_cast<std::int64_t>(now().wall));
-        commit(draft);
+        auto builder = a_.core->new_transaction();
+        builder.submit(std::get<wire::JobSpec>(parsed), "a", static_cast<std::int64_t>(now().wall));
+        commit(builder);
     }
 
     void tasks_run_and_some_end() {
-        for (std::uint64_t tick : {3, 4}) {
+        for (std::uint64_t sequence : {3, 4}) {
             for (int m = 1; m <= kMachines; ++m) {
-                wire::Report r = report(m, tick);
-                auto* h = a_.core->view().host(r.host);
+                wire::Heartbeat r = heartbeat(m, sequence);
+                auto* h = a_.core->state().host(r.host);
                 for (const auto& ref : h->placed) {
-                    wire::TaskReport t;
+                    wire::TaskStatus t;
                     t.job = ref.job->id, t.index = ref.index;
-                    t.attempt = ref.job->step(ref.index, a_.core->view().chunk_size()).attempt;
+                    t.attempt = ref.job->task(ref.index, a_.core->state().chunk_size()).attempt;
                     bool ends = t.job == "j-short" || (t.job == "j-batch" && t.index % 3 == 0);
-                    t.phase = ends && tick == 4 ? wire::TaskPhase::ended : wire::TaskPhase::running;
+                    t.phase = ends && sequence == 4 ? wire::TaskPhase::ended : wire::TaskPhase::running;
                     if (t.phase == wire::TaskPhase::ended)
-                        t.cause = t.index % 2 ? wire::Cause::halted : wire::Cause::done;
-                    r.steps.push_back(t);
+                        t.cause = t.index % 2 ? wire::Cause::stopped : wire::Cause::done;
+                    r.tasks.push_back(t);
                 }
-                a_.core->check_in(r, now());
+                a_.core->handle_heartbeat(r, now());
             }
             time_ += 1;
         }
@@ -150,22 +151,22 @@
     }
 
     void cancel(const std::string& id) {
-        auto draft = b_.core->new_draft();
-        draft.withdraw(*b_.core->view().job(id), static_cast<std::int64_t>(now().wall));
-        commit(draft);
+        auto builder = b_.core->new_transaction();
+        builder.cancel(*b_.core->state().job(id), static_cast<std::int64_t>(now().wall));
+        commit(builder);
     }
 
     void stop_gang(const std::string& id) {
-        auto* job = a_.core->view().job(id);
-        auto draft = a_.core->new_draft();
-        draft.stop_attempt(*job, job->step(0, a_.core->view().chunk_size()).attempt);
-        commit(draft);
+        auto* job = a_.core->state().job(id);
+        auto builder = a_.core->new_transaction();
+        builder.stop_attempt(*job, job->task(0, a_.core->state().chunk_size()).attempt);
+        commit(builder);
     }
 
     void machine_leaves(const std::string& name, bool gone) {
-        auto draft = a_.core->new_draft();
-        draft.mark_return(name, "a", static_cast<std::int64_t>(now().wall), gone, "test");
-        commit(draft);
+        auto builder = a_.core->new_transaction();
+        builder.mark_for_return(name, "a", static_cast<std::int64_t>(now().wall), gone, "test");
+        commit(builder);
     }
 
     MemberValue member_;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -19,9 +19,9 @@
     auto spec = std::get<JobSpec>(parse_job(*body));
     auto again = std::get<JobSpec>(parse_job(to_json(spec)));
     EXPECT_EQ(to_json(spec), to_json(again));
-    EXPECT_EQ(again.steps, 16u);
-    EXPECT_FALSE(again.hall);
-    EXPECT_EQ(again.builds->front(), "g8");
+    EXPECT_EQ(again.taskCount, 16u);
+    EXPECT_FALSE(again.zone);
+    EXPECT_EQ(again.machineTypes->front(), "g8");
 }
 
 TEST(Wire, EveryNeededFieldIsNeeded) {
@@ -86,13 +86,13 @@
                  {"steps",
                   {{{"step", "j-000412/3"}, {"try", 2}, {"phase", "running"}},
                    {{"step", "j-000398/0"}, {"try", 1}, {"phase", "ended"}, {"cause", "halted"}, {"kept", true}}}}};
-    auto r = parse_report(body);
+    auto r = parse_heartbeat(body);
     ASSERT_TRUE(r);
-    EXPECT_EQ(r->steps[0].index, 3u);
-    EXPECT_EQ(r->steps[1].cause, Cause::halted);
-    EXPECT_TRUE(r->steps[1].kept);
+    EXPECT_EQ(r->tasks[0].index, 3u);
+    EXPECT_EQ(r->tasks[1].cause, Cause::stopped);
+    EXPECT_TRUE(r->tasks[1].checkpointed);
     body["steps"][0]["phase"] = "dancing";
-    EXPECT_FALSE(parse_report(body));
+    EXPECT_FALSE(parse_heartbeat(body));
 }
 
 }  // namespace
--- a/tests/worker_lease_test.cpp
+++ b/tests/worker_lease_test.cpp
@@ -1,6 +1,6 @@
-// The lease of a worker, counted by itself and by its keeper, over every order in which a few messages can be sent, be
-// delivered or be lost: the keeper's count may never end before the worker's.
-#include "model/worker_lease.hpp"
+// The lease of a worker, counted by itself and by its leader, over every order in which a few messages can be sent, be
+// delivered or be lost: the leader's count may never end before the worker's.
+#include "workers/worker_lease.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 #include <tuple>
 #include <vector>
 
-#include "model/host.hpp"
+#include "workers/host_tracker.hpp"
 
 using namespace wellstair;
 
@@ -22,33 +22,33 @@
 struct State {
     int now = 0;
     // The worker.
-    int renewedFrom = 0;  // when the last answered report was sent
+    int renewedFrom = 0;  // when the last answered heartbeat was sent
     std::uint64_t number = 1;
-    std::optional<std::pair<std::uint64_t, int>> report;         // on its way: number, when it was sent
-    std::optional<std::tuple<std::uint64_t, int, bool>> answer;  // on its way: number, sending of the report, 200
-    std::uint64_t awaited = 0;                                   // the report that it waits for; 0: none
-    std::optional<std::uint64_t> copy;                           // of some report, held back
-    std::optional<std::uint64_t> commandReply;                   // on its way to the keeper
-    // The keeper.
-    model::HostNotes notes;
+    std::optional<std::pair<std::uint64_t, int>> heartbeat;      // on its way: number, when it was sent
+    std::optional<std::tuple<std::uint64_t, int, bool>> answer;  // on its way: number, sending of the heartbeat, 200
+    std::uint64_t awaited = 0;                                   // the heartbeat that it waits for; 0: none
+    std::optional<std::uint64_t> copy;                           // of some heartbeat, held back
+    std::optional<std::uint64_t> commandReply;                   // on its way to the leader
+    // The leader.
+    workers::HostTracker tracker;
 
     auto key() const {
-        return std::tuple(now, renewedFrom, number, report, answer, awaited, copy, commandReply, notes.reportNumber,
-                          notes.lease.number(), notes.lease.age(0));
+        return std::tuple(now, renewedFrom, number, heartbeat, answer, awaited, copy, commandReply, tracker.sequence,
+                          tracker.lease.sequence(), tracker.lease.age(0));
     }
 };
 
-wire::Report numbered(std::uint64_t number) {
-    wire::Report r;
-    r.host = "n-1", r.tenure = 1, r.tick = number, r.baton = 1;
+wire::Heartbeat numbered(std::uint64_t number) {
+    wire::Heartbeat r;
+    r.host = "n-1", r.agentEpoch = 1, r.sequence = number, r.fencingToken = 1;
     return r;
 }
 
-// What Core::check_in does with a report of a machine that is kept here.
+// What Core::check_in does with a heartbeat of a machine that is led here.
 bool answered(State& s, std::uint64_t number) {
-    wire::Report r = numbered(number);
-    if (!s.notes.lease.renew(r.tenure, r.tick, s.now)) return false;
-    if (s.notes.newer(r)) s.notes.take(r, model::ReportSource::checkin, s.now);
+    wire::Heartbeat r = numbered(number);
+    if (!s.tracker.lease.renew(r.agentEpoch, r.sequence, s.now)) return false;
+    if (s.tracker.newer(r)) s.tracker.take(r, workers::StatusSource::heartbeat, s.now);
     return true;
 }
 
@@ -62,16 +62,16 @@
     };
     if (!s.awaited)
         add([](State& n) {
-            n.report = {n.number, n.now};
+            n.heartbeat = {n.number, n.now};
             n.awaited = n.number++;
         });
-    if (s.awaited) add([](State& n) { n.awaited = 0; });  // the worker gives up; the report may still be on its way
-    if (s.report) {
-        if (!s.copy) add([](State& n) { n.copy = n.report->first; });
+    if (s.awaited) add([](State& n) { n.awaited = 0; });  // the worker gives up; the heartbeat may still be on its way
+    if (s.heartbeat) {
+        if (!s.copy) add([](State& n) { n.copy = n.heartbeat->first; });
         if (!s.answer)
             add([](State& n) {
-                auto [number, sent] = *n.report;
-                n.report.reset();
+                auto [number, sent] = *n.heartbeat;
+                n.heartbeat.reset();
                 n.answer = {number, sent, answered(n, number)};
             });
     }
@@ -91,8 +91,8 @@
     if (!s.commandReply) add([](State& n) { n.commandReply = n.number++; });  // a command is executed
     if (s.commandReply)
         add([](State& n) {
-            wire::Report r = numbered(*n.commandReply);
-            if (n.notes.newer(r)) n.notes.take(r, model::ReportSource::command_reply, n.now);
+            wire::Heartbeat r = numbered(*n.commandReply);
+            if (n.tracker.newer(r)) n.tracker.take(r, workers::StatusSource::command_reply, n.now);
             n.commandReply.reset();
         });
     add([](State& n) { ++n.now; });
@@ -102,8 +102,8 @@
 TEST(WorkerLease, NoOrderOfMessagesEndsTheCountBeforeTheWorkersLease) {
     constexpr int kSteps = 10;
     State start;
-    start.notes.lease.begin(0);
-    start.notes.session = 1;
+    start.tracker.lease.begin(0);
+    start.tracker.agentEpoch = 1;
     std::vector<State> frontier = {start};
     std::set<decltype(start.key())> known = {start.key()};
     std::size_t overtaken = 0;
@@ -113,9 +113,9 @@
             for (State& n : successors(s)) {
                 if (!known.insert(n.key()).second) continue;
                 // Whatever comes later: the count must reach at least as far as the lease that the worker has.
-                ASSERT_LE(n.notes.lease.age(n.now), n.now - n.renewedFrom)
+                ASSERT_LE(n.tracker.lease.age(n.now), n.now - n.renewedFrom)
                     << "after " << step + 1 << " steps: the worker's lease runs from " << n.renewedFrom;
-                overtaken += n.answer && std::get<0>(*n.answer) < n.notes.reportNumber && std::get<2>(*n.answer);
+                overtaken += n.answer && std::get<0>(*n.answer) < n.tracker.sequence && std::get<2>(*n.answer);
                 reached.push_back(std::move(n));
             }
         frontier = std::move(reached);
@@ -126,7 +126,7 @@
 TEST(WorkerLease, TheCountOutlastsTheWorkersWhateverTheDriftOfTheClocks) {
     constexpr double kLargestDrift = 0.0005;  // PROTOCOL
     for (double leaseS : {5.0, 20.0, 29.0, 300.0}) {
-        model::WorkerLease lease;
+        workers::WorkerLease lease;
         ASSERT_TRUE(lease.renew(1, 1, 0));
         // The worker's clock is slow by the whole drift: its lease ends so late by ours.
         const double endsS = leaseS * (1 + kLargestDrift);
@@ -136,7 +136,7 @@
 }
 
 TEST(WorkerLease, OlderReportsAndThoseOfEarlierSessionsRenewNothing) {
-    model::WorkerLease lease;
+    workers::WorkerLease lease;
     EXPECT_TRUE(lease.renew(2, 10, 100));
     EXPECT_FALSE(lease.renew(2, 10, 110)) << "a copy of the last one";
     EXPECT_FALSE(lease.renew(2, 9, 110));
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -3,19 +3,19 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "model/standing.hpp"
+#include "leadership/availability.hpp"
 
 namespace wellstair::test {
 
-using controller::CheckinAnswer;
+using controller::HeartbeatResponse;
 using wire::Json;
 
-std::uint64_t Store::stamp(const std::string& path) const {
+std::uint64_t Store::revision_of(const std::string& path) const {
     auto it = keys_.find(path);
     return it == keys_.end() ? 0 : it->second.second;
 }
 
-void Store::impose(const app::StateLimits& next) {
+void Store::impose(const config::StateLimits& next) {
     limits = next;
     writesLeft_ = next.writeRps;
 }
@@ -26,50 +26,50 @@
     now_ = seconds;
 }
 
-std::string Store::too_large(const Json& txn) const {
+std::string Store::too_large(const Json& transaction) const {
     constexpr std::size_t kTransactionBytes = 64 * 1024;
-    if (txn["apply"].size() > static_cast<std::size_t>(limits->txnOps)) return "operations";
-    if (txn["when"].size() > static_cast<std::size_t>(limits->conditions())) return "conditions";
-    if (txn.dump().size() > kTransactionBytes) return "transaction";
-    for (const Json& op : txn["apply"])
+    if (transaction["apply"].size() > static_cast<std::size_t>(limits->transactionOperations)) return "operations";
+    if (transaction["when"].size() > static_cast<std::size_t>(limits->conditions())) return "conditions";
+    if (transaction.dump().size() > kTransactionBytes) return "transaction";
+    for (const Json& op : transaction["apply"])
         if (op.contains("data") && op["data"].dump().size() > limits->value_bytes()) return op["set"];
     return "";
 }
 
-std::string Store::commit(const Json& txn) {
+std::string Store::commit(const Json& transaction) {
     if (limits) {
-        if (std::string what = too_large(txn); !what.empty()) return ++refusedAsMalformed, "malformed " + what;
-        const auto writes = static_cast<double>(txn["apply"].size());
+        if (std::string what = too_large(transaction); !what.empty()) return ++refusedAsMalformed, "malformed " + what;
+        const auto writes = static_cast<double>(transaction["apply"].size());
         if (now_ && writesLeft_ < writes) return "busy";
         writesLeft_ -= writes;
     }
     std::string failed;
-    for (const Json& w : txn["when"])
-        if (stamp(w["path"]) != w["stamp"].get<std::uint64_t>()) failed += " " + w["path"].get<std::string>();
+    for (const Json& w : transaction["when"])
+        if (revision_of(w["path"]) != w["stamp"].get<std::uint64_t>()) failed += " " + w["path"].get<std::string>();
     if (!failed.empty()) return "conflict" + failed;
-    ++epoch;
-    for (const Json& op : txn["apply"]) {
+    ++revision;
+    for (const Json& op : transaction["apply"]) {
         if (op.contains("set")) {
-            keys_[op["set"]] = {op["data"], epoch};
-            log.push_back({op["set"], op["data"], epoch});
+            keys_[op["set"]] = {op["data"], revision};
+            log.push_back({op["set"], op["data"], revision});
         } else {
             keys_.erase(op["remove"].get<std::string>());
-            log.push_back({op["remove"], std::nullopt, epoch});
+            log.push_back({op["remove"], std::nullopt, revision});
         }
     }
-    return "ok " + std::to_string(epoch);
+    return "ok " + std::to_string(revision);
 }
 
-void read_changes(const Store& store, model::View& view, double wallS) {
+void read_changes(const Store& store, state::StateCache& state, double wallS) {
     for (const auto& change : store.log)
-        if (change.stamp > view.epoch())
-            view.apply(change.path, change.data ? &*change.data : nullptr, change.stamp, wallS);
-    view.advance(store.epoch);
+        if (change.revision > state.revision())
+            state.apply(change.path, change.data ? &*change.data : nullptr, change.revision, wallS);
+    state.advance(store.revision);
 }
 
-std::vector<std::string> written_keys(const Json& txn) {
+std::vector<std::string> written_keys(const Json& transaction) {
     std::vector<std::string> keys;
-    for (const Json& op : txn["apply"]) keys.push_back(op[op.contains("set") ? "set" : "remove"]);
+    for (const Json& op : transaction["apply"]) keys.push_back(op[op.contains("set") ? "set" : "remove"]);
     return keys;
 }
 
@@ -97,13 +97,13 @@
                {"halls", {"a", "b"}}}}}};
 }
 
-app::Settings site_settings() {
-    app::Settings s;
+config::Settings site_settings() {
+    config::Settings s;
     s.location = "a";
     s.teams = {{"red", 16, 16, 2, 4}, {"blue", 8, 0, 0, 0}};
-    s.reportS = 3, s.leaseS = 20, s.gangWaitS = 30, s.gangPeerS = 8;
+    s.heartbeatIntervalS = 3, s.leaseS = 20, s.gangWaitS = 30, s.gangPeerS = 8;
     s.cancelS = 45;
-    s.stateRps = 100, s.stateWriteRps = 50, s.valueKb = 8, s.txnOps = 16;
+    s.stateRps = 100, s.stateWriteRps = 50, s.valueKb = 8, s.transactionOperations = 16;
     s.cloudRps = 5, s.listLagS = 3, s.cores = 1, s.ramMb = 100;
     s.maxSockets = 1000;
     return s;
@@ -119,49 +119,50 @@
 
 void World::sync(Controller& c) {
     if (c.refused) return;
-    c.contactS = c.servedS = time_;
-    read_changes(store_, c.core->view(), now().wall);
-    c.core->touch_all();
+    c.lastReadS = c.servedS = time_;
+    read_changes(store_, c.core->state(), now().wall);
+    c.core->request_replan();
 }
 
-std::string World::commit(Controller& c, const controller::Draft& draft) {
-    if (draft.empty()) return "nothing";
+std::string World::commit(Controller& c, const state::TransactionBuilder& builder) {
+    if (builder.empty()) return "nothing";
     if (c.refused) return "503";
-    auto txn = draft.build();
-    std::string result = store_.commit(txn.body);
+    auto transaction = builder.build();
+    std::string result = store_.commit(transaction.body);
     if (result.starts_with("ok")) sync(c);
     std::string out;
-    for (const auto& a : txn.about) out += a + "; ";
+    for (const auto& a : transaction.summary) out += a + "; ";
     return out + (result.starts_with("ok") ? "applied" : result);
 }
 
 // Its standing as the service judges it, with what the other controllers say of the state service.
-std::string World::judge(Controller& c) {
+std::string World::update_availability(Controller& c) {
     if (!c.refused) c.servedS = time_;
-    model::Heard h;
-    h.registered = c.core->member_stamp() != 0;
+    leadership::AvailabilitySignals h;
+    h.registered = c.core->member_revision() != 0;
     h.storeAgeS = time_ - c.servedS;
-    h.contactAgeS = time_ - std::max(c.contactS, c.inquiry.known_until(c.core->others()));
+    h.stateReadAgeS = time_ - std::max(c.lastReadS, c.readBarrier.acknowledged_until(c.core->others()));
     for (auto& [name, other] : controllers_) {
         if (&other == &c || !other.core) continue;
         h.hasPeers = true;
         if (!other.refused) other.servedS = time_;
-        c.core->set_hint(other.core->own_hint(time_ - other.servedS, now()), now());
+        c.core->set_peer_status(other.core->own_peer_status(time_ - other.servedS, now()), now());
     }
     h.peerHeard = c.core->peer_heard(now()), h.peerHasStore = c.core->peer_has_store(now());
-    c.core->set_member_state(model::judge(c.core->member_state(), h, {settings_.cancelS, settings_.leaseS}), now());
-    return model::MemberTraits::name(c.core->member_state());
+    c.core->set_availability(
+        leadership::next_availability(c.core->availability(), h, {settings_.cancelS, settings_.leaseS}), now());
+    return state::AvailabilityTraits::name(c.core->availability());
 }
 
 namespace {
 
-std::string show(const std::vector<wire::Order>& orders) {
-    static const char* verbs[] = {"start", "halt", "reap"};
+std::string show(const std::vector<wire::Command>& commands) {
+    static const char* types[] = {"start", "stop", "acknowledge"};
     std::string out;
-    for (const auto& o : orders) {
-        out += std::string(out.empty() ? "" : ", ") + verbs[static_cast<int>(o.verb)] + " " +
-               wire::step_name(o.job, o.index) + "#" + std::to_string(o.attempt);
-        if (o.verb == wire::Verb::halt && o.windDownS > 0) out += " saving";
+    for (const auto& o : commands) {
+        out += std::string(out.empty() ? "" : ", ") + types[static_cast<int>(o.type)] + " " +
+               wire::task_id(o.job, o.index) + "#" + std::to_string(o.attempt);
+        if (o.type == wire::CommandType::stop && o.gracePeriodS > 0) out += " saving";
     }
     return out.empty() ? "none" : out;
 }
@@ -183,40 +184,40 @@
     return std::get<wire::JobSpec>(parsed);
 }
 
-// HOST TENURE TICK BATON [reclaim=S] [j-1/0#1=running ...]
-wire::Report report_of(std::istringstream& in) {
-    wire::Report r;
-    in >> r.host >> r.tenure >> r.tick >> r.baton;
+// HOST TENURE TICK BATON [notice=S] [j-1/0#1=running ...]
+wire::Heartbeat heartbeat_of(std::istringstream& in) {
+    wire::Heartbeat r;
+    in >> r.host >> r.agentEpoch >> r.sequence >> r.fencingToken;
     r.address = "10.1.0.1:9000";
-    r.build = "c8", r.hall = "a";
+    r.machineType = "c8", r.zone = "a";
     std::string word;
     while (in >> word) {
         auto eq = word.find('=');
         std::string key = word.substr(0, eq), value = word.substr(eq + 1);
-        if (key == "reclaim") {
-            r.reclaimS = std::stod(value);
+        if (key == "notice") {
+            r.preemptionNoticeS = std::stod(value);
             continue;
         }
         if (key == "build") {
-            r.build = value;
+            r.machineType = value;
             continue;
         }
         if (key == "hall") {
-            r.hall = value;
+            r.zone = value;
             continue;
         }
         auto hash = key.find('#');
-        auto step = wire::parse_step(key.substr(0, hash));
-        wire::TaskReport t;
-        t.job = step->first, t.index = step->second;
+        auto task = wire::parse_task_id(key.substr(0, hash));
+        wire::TaskStatus t;
+        t.job = task->first, t.index = task->second;
         t.attempt = static_cast<std::uint32_t>(std::stoul(key.substr(hash + 1)));
         if (value == "running") t.phase = wire::TaskPhase::running;
         if (value == "waiting") t.phase = wire::TaskPhase::waiting;
         if (value == "done") t.phase = wire::TaskPhase::ended, t.cause = wire::Cause::done;
-        if (value == "halted") t.phase = wire::TaskPhase::ended, t.cause = wire::Cause::halted;
+        if (value == "stopped") t.phase = wire::TaskPhase::ended, t.cause = wire::Cause::stopped;
         if (value == "error") t.phase = wire::TaskPhase::ended, t.cause = wire::Cause::error;
-        if (value == "peers") t.phase = wire::TaskPhase::ended, t.cause = wire::Cause::peers;
-        r.steps.push_back(t);
+        if (value == "gang_peer_lost") t.phase = wire::TaskPhase::ended, t.cause = wire::Cause::gang_peer_lost;
+        r.tasks.push_back(t);
     }
     return r;
 }
@@ -243,7 +244,7 @@
             Controller& c = controllers_[n];
             c.settings = settings_;
             c.settings.member = n;
-            c.settings.location = n;  // a machine in hall a prefers controller a
+            c.settings.location = n;  // a machine in zone a prefers controller a
             for (const auto& other : names)
                 if (other != n) c.settings.members.push_back({other, other, {}});
         }
@@ -273,8 +274,8 @@
         store_.commit({{"when", Json::array()},
                        {"apply", {{{"set", "ws/members/" + name}, {"data", {{"inc", incarnations_}}}}}}});
         sync(c);
-        c.core->set_view_ready(true);
-        c.core->set_member_state(model::MemberState::live, now());
+        c.core->set_state_ready(true);
+        c.core->set_availability(state::Availability::serving, now());
         return "";
     }
     Controller& c = at(name);
@@ -286,32 +287,32 @@
         c.servedS = time_;
         return "";
     }
-    if (verb == "judge") return judge(c);
+    if (verb == "update-availability") return update_availability(c);
     if (verb == "ask") {  // NAME asks all others, or those named, what they have confirmed, and has their answers
-        auto question = c.inquiry.ask(time_);
+        auto requestNumber = c.readBarrier.next_request(time_);
         std::set<std::string> of;
         while (in >> arg) of.insert(arg);
         for (auto& [each, other] : controllers_) {
             if (&other == &c || !other.core || (!of.empty() && !of.count(each))) continue;
-            core.note_cancelled(other.core->cancellations());
-            c.inquiry.answered(each, other.core->incarnation(), question);
+            core.record_cancellations(other.core->cancellations());
+            c.readBarrier.acknowledge(each, other.core->incarnation(), requestNumber);
         }
         return "";
     }
     if (verb == "due") {  // what goes straight to hosts now, of all that the controller keeps; no answers yet
         std::string out;
-        for (auto& [host, orders] : core.commands_due(now())) {
-            core.commands_sent(host, orders, now());
-            c.sent[host] = orders;
-            out += (out.empty() ? "" : "; ") + host + ": " + show(orders);
+        for (auto& [host, commands] : core.commands_due(now())) {
+            core.commands_sent(host, commands, now());
+            c.sent[host] = commands;
+            out += (out.empty() ? "" : "; ") + host + ": " + show(commands);
         }
         return out.empty() ? "nothing" : out;
     }
     if (verb == "state") {
         in >> arg;
-        core.set_member_state(arg == "live"     ? model::MemberState::live
-                              : arg == "adrift" ? model::MemberState::adrift
-                                                : model::MemberState::alone,
+        core.set_availability(arg == "serving"        ? state::Availability::serving
+                              : arg == "disconnected" ? state::Availability::disconnected
+                                                      : state::Availability::isolated,
                               now());
         return "";
     }
@@ -322,38 +323,38 @@
         if (auto known = core.known(arg)) return show(*known);
         bool unsure = false;
         if (core.never_runs(spec, unsure)) return "422";
-        auto draft = core.new_draft();
-        draft.submit(spec, name, static_cast<std::int64_t>(now().wall));
-        return commit(c, draft).find("applied") != std::string::npos ? "201" : "conflict";
+        auto builder = core.new_transaction();
+        builder.submit(spec, name, static_cast<std::int64_t>(now().wall));
+        return commit(c, builder).find("applied") != std::string::npos ? "201" : "conflict";
     }
-    if (verb == "withdraw") {
+    if (verb == "cancel") {
         in >> arg;
-        auto* job = core.view().job(arg);
-        if (!job || job->state != model::JobState::active) return show(core.poll(arg));
-        auto draft = core.new_draft();
-        draft.withdraw(*job, static_cast<std::int64_t>(now().wall));
-        return commit(c, draft);
+        auto* job = core.state().job(arg);
+        if (!job || job->state != state::JobState::active) return show(core.poll(arg));
+        auto builder = core.new_transaction();
+        builder.cancel(*job, static_cast<std::int64_t>(now().wall));
+        return commit(c, builder);
     }
     if (verb == "poll") {  // reads up to this moment, as every poll does
         in >> arg;
         sync(c);
         return show(core.poll(arg));
     }
-    if (verb == "report") {
-        auto r = report_of(in);
-        auto a = core.check_in(r, now());
-        if (a.kind == CheckinAnswer::redirect) return "421 " + a.keeper;
-        if (a.kind == CheckinAnswer::refuse) return "503";
-        if (a.kind == CheckinAnswer::claiming) return "claim";
-        return "200 " + std::to_string(a.token) + ": " + show(a.orders);
+    if (verb == "heartbeat") {
+        auto r = heartbeat_of(in);
+        auto a = core.handle_heartbeat(r, now());
+        if (a.kind == HeartbeatResponse::redirect) return "421 " + a.leader;
+        if (a.kind == HeartbeatResponse::refuse) return "503";
+        if (a.kind == HeartbeatResponse::acquiring) return "acquire";
+        return "200 " + std::to_string(a.token) + ": " + show(a.commands);
     }
     if (verb == "round") {  // rounds come at least this far apart
         time_ += 0.2;
-        core.tick(now());
+        core.advance_time(now());
         return commit(c, core.round(now()));
     }
-    if (verb == "draft") {  // a round whose transaction is held back on the way
-        core.tick(now());
+    if (verb == "build") {  // a round whose transaction is held back on the way
+        core.advance_time(now());
         c.held = core.round(now()).build().body;
         return "";
     }
@@ -363,46 +364,46 @@
     }
     if (verb == "command") {  // what goes straight to the host now
         in >> arg;
-        auto orders = core.orders(arg, true, now());
-        core.commands_sent(arg, orders, now());
-        c.sent[arg] = orders;
-        return show(orders);
+        auto commands = core.commands_for(arg, true, now());
+        core.commands_sent(arg, commands, now());
+        c.sent[arg] = commands;
+        return show(commands);
     }
     if (verb == "unanswered") {
         in >> arg;
-        core.commands_answered(arg, c.sent[arg], false, core.view().host(arg)->baton);
+        core.commands_answered(arg, c.sent[arg], false, core.state().host(arg)->fencingToken);
         return "";
     }
     if (verb == "answered") {  // NAME HOST TENURE TICK BATON tasks
-        auto r = report_of(in);
-        core.take_command_reply(r, now());
-        core.commands_answered(r.host, c.sent[r.host], true, core.view().host(r.host)->baton);
+        auto r = heartbeat_of(in);
+        core.handle_command_reply(r, now());
+        core.commands_answered(r.host, c.sent[r.host], true, core.state().host(r.host)->fencingToken);
         return "";
     }
     if (verb == "gone") {  // the cloud said 200 to the return of this host
         in >> arg;
-        auto* h = core.view().host(arg);
-        auto draft = core.new_draft();
-        draft.mark_return(arg, h ? h->hall : "a", static_cast<std::int64_t>(now().wall), true, "test");
-        return commit(c, draft);
+        auto* h = core.state().host(arg);
+        auto builder = core.new_transaction();
+        builder.mark_for_return(arg, h ? h->zone : "a", static_cast<std::int64_t>(now().wall), true, "test");
+        return commit(c, builder);
     }
-    if (verb == "hint") {  // NAME hears OTHER say how long ago the store answered it
+    if (verb == "peer-status") {  // NAME hears OTHER say how long ago the store answered it
         double age = 0;
         in >> arg >> age;
-        core.set_hint({arg, 1, age, true, {}}, now());
+        core.set_peer_status({arg, 1, age, true, {}}, now());
         return "";
     }
     if (verb == "store-heard") return core.peer_has_store(now()) ? "yes" : "no";
     if (verb == "role") {  // takes the cloud role
-        auto draft = core.new_draft();
+        auto builder = core.new_transaction();
         if (!core.may_take_cloud_role()) return "taken";
-        core.take_cloud_role(draft, 0);
-        return commit(c, draft);
+        core.take_cloud_role(builder, 0);
+        return commit(c, builder);
     }
-    if (verb == "draft-role") {  // as above, with the transaction held back on the way
-        auto draft = core.new_draft();
-        core.take_cloud_role(draft, 0);
-        c.held = draft.build().body;
+    if (verb == "build-role") {  // as above, with the transaction held back on the way
+        auto builder = core.new_transaction();
+        core.take_cloud_role(builder, 0);
+        c.held = builder.build().body;
         return "";
     }
     if (verb == "may-call-cloud") return core.may_call_cloud() ? "yes" : "no";
@@ -410,8 +411,8 @@
     if (verb == "team") {
         in >> arg;
         sync(c);
-        auto it = core.view().teams().find(arg);
-        if (it == core.view().teams().end()) return "0 cores";
+        auto it = core.state().teams().find(arg);
+        if (it == core.state().teams().end()) return "0 cores";
         return std::to_string(it->second.total.cores / 1000) + " cores";
     }
     throw std::runtime_error("unknown command: " + line);
