--- a/src/controller/commands.cpp
+++ b/src/controller/commands.cpp
@@ -20,12 +20,12 @@
 
 std::vector<wire::Command> Core::commands_for(const std::string& host, bool byCommand, Timestamp now) {
     std::vector<wire::Command> acknowledgements, stops, starts;
-    HostRecord* h = state_->host(host);
-    HostTracker* n = tracker(host);
-    if (!led_here(h) || !n) return {};
+    HostRecord* h = context_.state().host(host);
+    HostTracker* n = hosts_.find(host);
+    if (!context_.led_here(h) || !n) return {};
     std::map<TaskKey, std::uint32_t> placedHere;
     for (const TaskRef& ref : h->placed) {
-        Task s = ref.job->task(ref.index, state_->chunk_size());
+        Task s = ref.job->task(ref.index, context_.state().chunk_size());
         TaskKey key{ref.job->id, ref.index};
         placedHere[key] = s.attempt;
         auto seen = n->tasks.find(key);
@@ -35,14 +35,14 @@
             SentStop& note = n->stops[key];
             bool first = note.attempt != s.attempt;
             if (first) note = {s.attempt, now.steady};
-            bool useless = cancelled(*ref.job) || ref.job->spec->checkpointIntervalS <= 0;
-            bool orderly = !useless && (!ref.job->wide_gang() || gang_state(*ref.job) != GangState::broken);
+            bool useless = cancellations_.cancelled(*ref.job) || ref.job->spec->checkpointIntervalS <= 0;
+            bool orderly = !useless && (!ref.job->wide_gang() || ref.job->gang_state() != GangState::broken);
             double gracePeriod = orderly ? ref.job->spec->checkpointWriteS + settings_.heartbeatIntervalS : 0;
             if (seen->second.phase == wire::TaskPhase::checkpointing && orderly) continue;
             stops.push_back({wire::CommandType::stop, key.first, key.second, s.attempt, gracePeriod});
         }
         if (!there && !stop && s.fencingToken == h->fencingToken && n->state == HostState::confirmed &&
-            availability_ == Availability::serving && n->seenToken == h->fencingToken && !h->leaves()) {
+            context_.serving() && n->seenToken == h->fencingToken && !h->leaves()) {
             auto st = n->starts.find(key);
             bool sent = st != n->starts.end() && st->second.attempt == s.attempt;
             if (sent && (st->second.seen || st->second.agentEpoch != n->agentEpoch)) continue;
@@ -83,19 +83,20 @@
 
 std::vector<std::pair<std::string, std::vector<wire::Command>>> Core::commands_due(Timestamp now) {
     std::vector<std::pair<std::string, std::vector<wire::Command>>> out;
-    if (!stateReady_) return out;
-    const bool live = availability_ == Availability::serving;
-    for (auto it = dueHosts_.begin(); it != dueHosts_.end();) {
+    if (!context_.state_ready()) return out;
+    const bool live = context_.serving();
+    for (auto it = schedule_.due_hosts().begin(); it != schedule_.due_hosts().end();) {
         const std::string name = *it;
-        HostRecord* h = state_->host(name);
-        HostTracker* n = tracker(name);
-        if (!led_here(h) || !n || h->gone()) {
+        HostRecord* h = context_.state().host(name);
+        HostTracker* n = hosts_.find(name);
+        if (!context_.led_here(h) || !n || h->gone()) {
             // The tasks of a machine that is gone stay due until each has been cleared by whoever is responsible.
-            it = h && (h->gone() || h->removed()) && !h->placed.empty() ? std::next(it) : dueHosts_.erase(it);
+            it = h && (h->gone() || h->removed()) && !h->placed.empty() ? std::next(it)
+                                                                        : schedule_.due_hosts().erase(it);
             continue;
         }
         if (in_sync(*h, *n) && !n->needFence) {
-            it = dueHosts_.erase(it);
+            it = schedule_.due_hosts().erase(it);
             continue;
         }
         ++it;
@@ -105,8 +106,9 @@
         // machine that obeys a newer leader refuses it, one that hangs finds it when it goes on. Everything else needs
         // all three.
         if (!live || n->state != HostState::confirmed || n->missedAnswers) {
-            std::erase_if(
-                all, [&](const wire::Command& o) { return o.type != wire::CommandType::stop || !cancelled(o.job); });
+            std::erase_if(all, [&](const wire::Command& o) {
+                return o.type != wire::CommandType::stop || !cancellations_.cancelled(o.job);
+            });
             add_blind_stops(*h, *n, all);
         }
         bool urgent = false;
@@ -125,14 +127,14 @@
 
 void Core::log_start(const HostRecord& h, const wire::Command& start, const char* sentBy, Timestamp now) const {
     if (!spdlog::should_log(spdlog::level::debug)) return;
-    const HostTracker& n = trackers_.at(h.name);
+    const HostTracker& n = *hosts_.find(h.name);
     spdlog::debug("start {}/{} attempt {} on {} by {}: fencing token {} confirmed in agent epoch {}, lease {}",
                   start.job, start.index, start.attempt, h.name, sentBy, h.fencingToken, n.agentEpoch,
                   n.lease.describe(now.steady));
 }
 
 void Core::commands_sent(const std::string& host, const std::vector<wire::Command>& commands, Timestamp now) {
-    HostTracker& n = trackers_[host];
+    HostTracker& n = hosts_.track(host);
     for (const wire::Command& o : commands) {
         if (o.type == wire::CommandType::start) {
             SentStart& note = n.starts[{o.job, o.index}];
@@ -140,7 +142,7 @@
             if (!note.attempt) note.agentEpoch = n.agentEpoch, note.answeredSequence = n.lease.sequence();
             note.attempt = o.attempt;
             note.commandedS = now.steady;
-            if (const HostRecord* h = state_->host(host)) log_start(*h, o, "command", now);
+            if (const HostRecord* h = context_.state().host(host)) log_start(*h, o, "command", now);
             ++note.inFlight;
         } else if (o.type == wire::CommandType::stop) {
             n.stops[{o.job, o.index}] = {o.attempt, now.steady - 1e-3};
@@ -150,26 +152,26 @@
 
 void Core::commands_answered(const std::string& host, const std::vector<wire::Command>& commands, bool answered,
                              std::uint64_t fencingToken) {
-    auto it = trackers_.find(host);
-    if (it == trackers_.end()) return;
+    HostTracker* tracker = hosts_.find(host);
+    if (!tracker) return;
     for (const wire::Command& o : commands) {
         if (o.type != wire::CommandType::start) continue;
-        auto st = it->second.starts.find({o.job, o.index});
-        if (st == it->second.starts.end() || st->second.attempt != o.attempt) continue;
+        auto st = tracker->starts.find({o.job, o.index});
+        if (st == tracker->starts.end() || st->second.attempt != o.attempt) continue;
         if (st->second.inFlight > 0) --st->second.inFlight;
         if (!answered) st->second.unanswered = std::max(st->second.unanswered, fencingToken);
     }
-    dueHosts_.insert(host);
-    roundDue_ = true;
+    schedule_.due_hosts().insert(host);
+    schedule_.request_round();
 }
 
 // Of a cancelled task whose start has been sent and which no heartbeat shows: the start may reach the machine still,
 // and the stop command behind it then ends the task at once.
 void Core::add_blind_stops(const HostRecord& h, const HostTracker& n, std::vector<wire::Command>& all) const {
     for (const TaskRef& ref : h.placed) {
-        if (!cancelled(*ref.job)) continue;
+        if (!cancellations_.cancelled(*ref.job)) continue;
         TaskKey key{ref.job->id, ref.index};
-        std::uint32_t attempt = ref.job->task(ref.index, state_->chunk_size()).attempt;
+        std::uint32_t attempt = ref.job->task(ref.index, context_.state().chunk_size()).attempt;
         auto sent = n.starts.find(key);
         if (sent == n.starts.end() || sent->second.attempt != attempt || sent->second.seen || n.tasks.count(key))
             continue;
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -10,23 +10,30 @@
 #include <unordered_map>
 #include <variant>
 
+#include "common/timestamp.hpp"
 #include "config/settings.hpp"
 #include "controller/heartbeat_statistics.hpp"
+#include "failover/host_failover.hpp"
+#include "leadership/cancellation_registry.hpp"
+#include "leadership/controller_context.hpp"
+#include "leadership/round_schedule.hpp"
+#include "leadership/shard_assignment.hpp"
+#include "leadership/state_limit_policy.hpp"
 #include "peers/packet.hpp"
+#include "peers/peer_table.hpp"
 #include "placement/lem.hpp"
 #include "placement/overload.hpp"
 #include "placement/room.hpp"
 #include "placement/scale_out.hpp"
+#include "reconciliation/job_history.hpp"
 #include "state/state_cache.hpp"
 #include "state/transaction_builder.hpp"
+#include "workers/host_table.hpp"
 #include "workers/host_tracker.hpp"
 
 namespace wellstair::controller {
 
-struct Timestamp {
-    double steady = 0;  // seconds on the steady clock
-    double wall = 0;    // time of day, seconds
-};
+using wellstair::Timestamp;
 
 struct Tunables {
     double leaWeight = 1;    // W; 0: the number of machines
@@ -41,11 +48,6 @@
     double retryAfterS = 0;
 };
 
-struct Admission {
-    enum Kind { kept, acquire, redirect, refuse } kind = refuse;
-    std::string leader;
-};
-
 // What a worker's heartbeat is answered with.
 struct HeartbeatResponse {
     enum Kind {
@@ -70,14 +72,16 @@
     Core(const config::Settings& settings, Tunables tunables, std::uint64_t incarnation);
 
     // --- the cached state
-    state::StateCache& state() { return *state_; }
+    state::StateCache& state() { return context_.state(); }
     void reset_state();  // the watch lost its place: everything is read again
-    void set_state_ready(bool ready) { stateReady_ = ready; }
-    bool state_ready() const { return stateReady_; }
-    std::uint64_t member_revision() const;  // 0: this incarnation is not registered
-    void set_availability(state::Availability s, Timestamp now);
-    state::Availability availability() const { return availability_; }
-    std::uint64_t incarnation() const { return incarnation_; }
+    void set_state_ready(bool ready) { context_.set_state_ready(ready); }
+    bool state_ready() const { return context_.state_ready(); }
+    std::uint64_t member_revision() const {
+        return context_.member_revision();
+    }  // 0: this incarnation is not registered
+    void set_availability(state::Availability next, Timestamp now) { context_.set_availability(next, now); }
+    state::Availability availability() const { return context_.availability(); }
+    std::uint64_t incarnation() const { return context_.incarnation(); }
 
     // --- users
     // Known already (final, or open and the view is of this moment): the answer.
@@ -100,40 +104,42 @@
                            std::uint64_t fencingToken);
     HeartbeatStatistics& heartbeat_statistics() { return heartbeatStatistics_; }
     // Asks the next round to register the machine here.
-    void request_acquisition(const wire::Heartbeat& r);
-    workers::HostTracker* tracker(const std::string& host);
+    void request_acquisition(const wire::Heartbeat& r) { failover_.request_acquisition(r); }
+    workers::HostTracker* tracker(const std::string& host) { return hosts_.find(host); }
 
     // --- rounds
     // The next transaction of this controller, empty if there is nothing to do.
     state::TransactionBuilder round(Timestamp now);
     bool advance_time(Timestamp now);  // time alone changes things: silent and expired hosts
-    bool round_due() const { return roundDue_; }
-    void request_round() { roundDue_ = true; }
-    void request_replan() { roundDue_ = planDue_ = true; }  // a transaction did not apply: propose it all again
+    bool round_due() const { return schedule_.round_due(); }
+    void request_round() { schedule_.request_round(); }
+    void request_replan() { schedule_.request_replan(); }  // a transaction did not apply: propose it all again
     state::TransactionBuilder new_transaction();
     // What transactions keep to: the present limits of the state service, or the lower of these and the announced ones.
-    config::StateLimits state_limits() const;
+    config::StateLimits state_limits() const { return limits_.limits(); }
     // The state service refused a transaction as malformed: the announced limits may hold already, and what it wrote is
     // left alone for a while, so that nothing else waits for it.
-    void handle_rejected_transaction(const std::vector<std::string>& keys, Timestamp now);
+    void handle_rejected_transaction(const std::vector<std::string>& keys, Timestamp now) {
+        limits_.handle_rejected_transaction(keys, now);
+    }
     // What a registration under this process's lease says.
-    state::MemberData member_data() const;
+    state::MemberData member_data() const { return limits_.member_data(); }
     // The layout of the stored keys that this process's settings lead to.
-    state::LayoutRecord own_layout() const;
+    state::LayoutRecord own_layout() const { return limits_.own_layout(); }
 
     // --- cloud (the holder of the role)
     // This process holds it. One of the same name that has ended holds it until its lease ends: this one takes it over.
     bool holds_cloud_role() const {
-        return state_->cloud_role() == settings_.member && state_->cloud_role_incarnation() == incarnation_;
+        return context_.state().cloud_role() == settings_.member &&
+               context_.state().cloud_role_incarnation() == context_.incarnation();
     }
     bool may_take_cloud_role() const {
-        return !state_->cloud_role_revision() || (state_->cloud_role() == settings_.member && !holds_cloud_role());
+        return !context_.state().cloud_role_revision() ||
+               (context_.state().cloud_role() == settings_.member && !holds_cloud_role());
     }
     bool take_cloud_role(state::TransactionBuilder& builder, std::uint64_t leaseId) const;
     // Asked before each call: the role lasts as long as the member's lease, which may end while a call is under way.
-    bool may_call_cloud() const {
-        return availability_ == state::Availability::serving && member_revision() && holds_cloud_role();
-    }
+    bool may_call_cloud() const { return context_.serving() && member_revision() && holds_cloud_role(); }
     struct MachineList {
         std::vector<wire::Machine> machines;
         double atS = -1e9;
@@ -149,24 +155,20 @@
     void mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now);
 
     // --- peers
-    void set_peer_status(const peers::PeerStatus& peerStatus, Timestamp now);
+    void set_peer_status(const peers::PeerStatus& peerStatus, Timestamp now) { peers_.receive(peerStatus, now); }
     peers::PeerStatus own_peer_status(double storeAgeS, Timestamp now) const;
-    bool peer_has_store(Timestamp now) const;
+    bool peer_has_store(Timestamp now) const { return peers_.any_has_state_service(now); }
     // All cancellations that are confirmed, as far as this controller knows: the store's, those that it has confirmed
     // to users itself, and those that the others told of.
-    std::vector<std::string> cancellations() const;
-    void record_cancellations(const std::vector<std::string>& ids);
+    std::vector<std::string> cancellations() const { return cancellations_.all(); }
+    void record_cancellations(const std::vector<std::string>& ids) { cancellations_.record(ids); }
     // The processes of all other controllers, by the last read; without those that are not there.
     std::map<std::string, std::uint64_t> others() const;
-    bool peer_heard(Timestamp now) const;  // some other controller has spoken of late
+    bool peer_heard(Timestamp now) const { return peers_.any_heard(now); }  // some other controller has spoken of late
 
-    bool responsible(const state::Job& job) const;
-    // The same number in every controller, spread evenly.
-    static std::uint64_t stable_hash(std::string_view a, std::string_view b);
     static const char* phase_name(const state::Job& job);
 
   private:
-    Admission admit(const wire::Heartbeat& r, Timestamp now);
     // Whether a heartbeat of a machine led here may be answered with 200; then the lease is counted from now.
     bool renew_lease(const wire::Heartbeat& r, Timestamp now);
     // Takes in what a heartbeat of a machine led here tells, unless something newer is known.
@@ -176,41 +178,15 @@
         const char* reason = "";
     };
     TerminationProof termination_proof(const state::HostRecord& h, const state::TaskRef& ref);
-    // Every host that may have something to do is in `due_`; a round looks at these alone.
-    void mark_due(const state::HostRecord& h) { dueHosts_.insert(h.name); }
-    void mark_job_due(const state::Job& job);
     bool in_sync(const state::HostRecord& h, const workers::HostTracker& n) const;
-    // For so long a host that is well has never been quiet.
-    bool silent(const workers::HostTracker& n, Timestamp now) const {
-        return n.lease.age(now.steady) > kSilentHeartbeats * settings_.heartbeatIntervalS;
-    }
-    static constexpr double kSilentHeartbeats = 1.6;  // intervals: they vary by a quarter, and one may be late
-    bool layout_switched() const { return state_->layout().version >= state::kLayoutWithSplitShards; }
-    bool splitting_allowed() const;
-    bool propose_switch(state::TransactionBuilder& builder) const;
-    void split_shards(state::TransactionBuilder& builder, Timestamp now);
-    void acquire_hosts(state::TransactionBuilder& builder, Timestamp now);
-    // All machines of the range that no live process keeps.
-    bool acquire_unowned(state::TransactionBuilder& builder, const state::HostShard& shard);
-    void transfer_hosts(state::TransactionBuilder& builder, Timestamp now);
-    bool unowned(const state::HostRecord& h) const;
-    const std::string& preferred_leader(const state::HostShard& shard) const;
-    state::GangState gang_state(const state::Job& job) const;
     bool stopping(const state::Job& job, const state::Task& task) const;
-    bool cancelled(const std::string& id) const;
-    bool cancelled(const state::Job& job) const;
-    bool may_start_cancelled(const state::HostRecord& h) const;
-    bool holds_cancelled(const state::HostRecord& h, const workers::HostTracker& n, Timestamp now) const;
     void log_start(const state::HostRecord& h, const wire::Command& start, const char* sentBy, Timestamp now) const;
     void add_blind_stops(const state::HostRecord& h, const workers::HostTracker& n,
                          std::vector<wire::Command>& all) const;
-    bool led_here(const state::HostRecord* h) const;
     bool usable(const state::HostRecord& h, Timestamp now) const;
     void on_task_change(state::Job& job, std::uint32_t index, const state::Task& before, const state::Task& after);
     void record_replica_end(const state::Job& job, const std::string& host, Timestamp now);
     bool may_move_replica(const state::Job& job, std::uint32_t index, Timestamp now) const;
-    // Since when a service has had an open replica, by the time of day.
-    double open_since(const state::Job& job) const;
     bool holds_service(const state::HostRecord& h) const;
     void record_task_end(workers::HostTracker& n, const std::string& host, const workers::TaskKey& key,
                          const workers::ObservedTask& seen, Timestamp now);
@@ -269,13 +245,15 @@
 
     const config::Settings& settings_;
     Tunables tunables_;
-    std::uint64_t incarnation_;
-    std::unique_ptr<state::StateCache> state_;
-    bool stateReady_ = false;
-    double liveSinceS_ = -1e9;
-    state::StateMachine<state::Availability, state::AvailabilityTraits> availability_{state::Availability::joining};
-    bool roundDue_ = true;
-    bool planDue_ = true;      // something that placement depends on has changed
+    leadership::ControllerContext context_;
+    leadership::RoundSchedule schedule_;
+    workers::HostTable hosts_;
+    peers::PeerTable peers_;
+    reconciliation::JobHistories jobHistories_;
+    leadership::CancellationRegistry cancellations_;
+    leadership::ShardAssignment assignment_;
+    leadership::StateLimitPolicy limits_;
+    failover::HostFailover failover_;
     double plannedS_ = -1e9;   // when it was last planned
     double nextTurnS_ = 1e18;  // time of day of the next turn of this controller at some job
     struct NodePool {
@@ -294,34 +272,9 @@
     std::map<std::string, double> nextAgedStartS_;
     std::uint64_t lastOrder_ = 0;  // the newest job that was planned for
 
-    std::set<std::string> cancelled_;  // confirmed, and not seen in the store yet
-    std::unordered_map<std::string, workers::HostTracker> trackers_;
     HeartbeatStatistics heartbeatStatistics_;
-    std::map<std::string, wire::Heartbeat> acquisitionRequests_;
-    struct Redirected {
-        double atS = -1e9;
-        std::uint64_t agentEpoch = 0, sequence = 0;
-    };
-    std::unordered_map<std::string, Redirected> redirected_;
-    std::unordered_map<std::string, double> takenOverS_;  // hosts taken from a live leader: when
-    std::map<std::string, double> unreached_;             // controllers that some host could not reach: when
-    std::set<std::string> dueHosts_;
-    Timestamp now_;
-    double acquiredS_ = -1e9, transferredS_ = -1e9, scaleInProposedS_ = -1e9;
-    std::uint64_t membersRevision_ = 0;
-    bool limitsFell_ = false;  // the state service has refused what the present limits allow
-    std::map<std::string, double>
-        rejectedKeysUntil_;  // keys that it refused as too large: until when they are left alone
-    double splitS_ = -1e9;
+    double scaleInProposedS_ = -1e9;
     int firstStage_ = 0;  // of a round: rotates while transactions are full
-    struct JobHistory {
-        std::set<std::string> failedOn;
-        int failures = 0;
-        double notBeforeS = -1e9;
-        double lastFailureS = -1e9;
-    };
-    std::unordered_map<std::string, JobHistory> jobHistories_;
-    std::unordered_map<std::string, double> replicaLostS_;  // services: time of day of the last loss
     // Jobs that would run but for room kept for others: since when, and when that was seen last; a moment without any
     // room, between two tasks, does not end it. Kept room is a courtesy, and may not cost a job more than two leases.
     struct HeldBack {
@@ -335,12 +288,6 @@
     // Foreign hosts on which a planned start does not happen: since when.
     std::unordered_map<std::string, double> unstartedSince_;
 
-    struct ReceivedStatus {
-        peers::PeerStatus peerStatus;
-        double atS = -1e9;
-    };
-    std::map<std::string, ReceivedStatus> peerStatuses_;
-
     MachineList cloud_;
     struct PendingHost {
         ScaleOutRequest what;
--- a/src/controller/heartbeats.cpp
+++ b/src/controller/heartbeats.cpp
@@ -9,25 +9,26 @@
 using workers::HostTracker;
 
 HeartbeatResponse Core::handle_heartbeat(const wire::Heartbeat& r, Timestamp now) {
-    Admission admission = admit(r, now);
+    using Decision = failover::Admission::Decision;
+    const failover::Admission admission = failover_.admit(r, now);
     HeartbeatResponse answer;
-    if (admission.kind == Admission::redirect) {
+    if (admission.decision == Decision::redirect) {
         answer.kind = HeartbeatResponse::redirect;
         answer.leader = admission.leader;
-    } else if (admission.kind == Admission::acquire) {
+    } else if (admission.decision == Decision::acquire) {
         answer.kind = HeartbeatResponse::acquiring;
-        request_acquisition(r);
-    } else if (admission.kind == Admission::kept && renew_lease(r, now)) {
+        failover_.request_acquisition(r);
+    } else if (admission.decision == Decision::accept && renew_lease(r, now)) {
         apply_status(r, workers::StatusSource::heartbeat, now);
         answer.kind = HeartbeatResponse::renewed;
-        answer.token = state_->host(r.host)->fencingToken;
+        answer.token = context_.state().host(r.host)->fencingToken;
         answer.commands = commands_for(r.host, false, now);
     }
     return answer;
 }
 
 bool Core::renew_lease(const wire::Heartbeat& r, Timestamp now) {
-    HostTracker& n = trackers_[r.host];
+    HostTracker& n = hosts_.track(r.host);
     const bool countedAsEnded = n.state == HostState::expired && r.agentEpoch == n.lease.agentEpoch();
     const workers::WorkerLease before = n.lease;
     if (!n.lease.renew(r.agentEpoch, r.sequence, now.steady)) {
--- a/src/controller/planning.cpp
+++ b/src/controller/planning.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 #include <cmath>
 
+#include "common/stable_hash.hpp"
 #include "controller/core.hpp"
 #include "controller/estimates.hpp"
 #include "controller/job_needs.hpp"
@@ -25,18 +26,16 @@
 }  // namespace
 
 bool Core::usable(const HostRecord& h, Timestamp now) const {
-    if (!h.registered() || h.leaves() || !state_->member_live(h.leader)) return false;
-    if (led_here(&h)) {
-        auto it = trackers_.find(h.name);
-        if (it == trackers_.end()) return false;
-        const HostTracker& n = it->second;
+    if (!h.registered() || h.leaves() || !context_.state().member_live(h.leader)) return false;
+    if (context_.led_here(&h)) {
+        const HostTracker* tracker = hosts_.find(h.name);
+        if (!tracker) return false;
+        const HostTracker& n = *tracker;
         return n.state == HostState::confirmed && n.seenToken == h.fencingToken && !n.preemptionAtS && !n.needFence &&
                !n.missedAnswers && now.steady >= n.quarantineUntilS;
     }
-    if (auto it = peerStatuses_.find(h.leader);
-        it != peerStatuses_.end() && now.steady - it->second.atS < settings_.heartbeatIntervalS) {
-        if (it->second.peerStatus.lists(h.name)) return false;
-    }
+    const peers::ReceivedStatus* leader = peers_.find(h.leader);
+    if (leader && leader->age(now) < settings_.heartbeatIntervalS && leader->status.lists(h.name)) return false;
     // Its leader does not start there what our plan expects it to: count on it no more for a while.
     if (auto it = unstartedSince_.find(h.name); it != unstartedSince_.end()) {
         double age = now.steady - it->second;
@@ -74,26 +73,26 @@
 std::vector<placement::Machine> Core::machines(Timestamp now, std::vector<HostRecord*>& records) {
     std::vector<placement::Machine> out;
     std::vector<HostRecord*> hosts;
-    for (const auto& [name, h] : state_->hosts())
-        if (usable(*h, now) && state_->type(h->machineType)) hosts.push_back(h.get());
+    for (const auto& [name, h] : context_.state().hosts())
+        if (usable(*h, now) && context_.state().type(h->machineType)) hosts.push_back(h.get());
     std::sort(hosts.begin(), hosts.end(), [](auto* a, auto* b) { return a->name < b->name; });
     for (HostRecord* h : hosts) {
-        const wire::MachineType& t = *state_->type(h->machineType);
+        const wire::MachineType& t = *context_.state().type(h->machineType);
         placement::Machine m;
         m.nodePool = node_pool_id(h->machineType, h->zone, h->spot), m.zone = zone_id(h->zone);
         m.total = {t.cores, t.gpus, t.ramGb};
         m.cacheGb = t.cacheGb;
-        m.fetchGbPerS = tunables_.fetchGbPerS > 0 ? tunables_.fetchGbPerS : state_->fetch_rate(h->machineType);
+        m.fetchGbPerS = tunables_.fetchGbPerS > 0 ? tunables_.fetchGbPerS : context_.state().fetch_rate(h->machineType);
         m.cache = &h->cache;
         m.busy = !h->placed.empty();
         // Where two controllers see the caches differently, each would leave a task to the other's machine. A slight
         // preference for one's own makes both act instead, and the state service lets one of them win.
-        if (!led_here(h)) m.penaltyS = settings_.heartbeatIntervalS / 10;
+        if (!context_.led_here(h)) m.penaltyS = settings_.heartbeatIntervalS / 10;
         m.holds.reserve(h->placed.size() + 2);
-        const HostTracker* n = led_here(h) ? tracker(h->name) : nullptr;
+        const HostTracker* n = context_.led_here(h) ? hosts_.find(h->name) : nullptr;
         for (const TaskRef& ref : h->placed) {
             const wire::JobSpec& s = *ref.job->spec;
-            Task task = ref.job->task(ref.index, state_->chunk_size());
+            Task task = ref.job->task(ref.index, context_.state().chunk_size());
             double until = task.atS + s.imageGb / m.fetchGbPerS + occupied_s(s);
             // Overdue by its estimate: expect a part of the estimate more.
             until = std::max(until, now.wall + std::max(settings_.heartbeatIntervalS, s.estimatedDurationS / 5));
@@ -133,13 +132,14 @@
 }
 
 void Core::record_arrivals(Timestamp now) {
-    for (const auto& [order, job] : state_->queue()) {
+    for (const auto& [order, job] : context_.state().queue()) {
         if (!counted_.insert(job->id).second) continue;
         ClassArrivals& jobClass = arrivalsByClass_[job->spec->jobClass];
         jobClass.last = *job->spec;
         jobClass.arrivals.emplace_back(now.steady - (now.wall - static_cast<double>(job->atS)), job->spec->taskCount);
     }
-    if (counted_.size() > 4096) std::erase_if(counted_, [&](const std::string& id) { return !state_->job(id); });
+    if (counted_.size() > 4096)
+        std::erase_if(counted_, [&](const std::string& id) { return !context_.state().job(id); });
     for (auto& [name, jobClass] : arrivalsByClass_)
         while (!jobClass.arrivals.empty() && now.steady - jobClass.arrivals.front().first > 4 * settings_.leaseS)
             jobClass.arrivals.pop_front();
@@ -172,7 +172,7 @@
 // the state service and plan again.
 double Core::placement_turn(const Job& job) const {
     const wire::JobSpec& s = *job.spec;
-    if (job.gang() || (s.taskCount == 1 && !job.service()) || responsible(job)) return 0;
+    if (job.gang() || (s.taskCount == 1 && !job.service()) || context_.responsible(job)) return 0;
     double after = 1;
     auto mine = stable_hash(settings_.member, job.id);
     for (const auto& m : settings_.members)
@@ -180,7 +180,7 @@
     after *= settings_.heartbeatIntervalS / 16;
     // All replicas of a service are placed by its responsible controller, on any machine; by others only if it does
     // not.
-    if (job.service()) return open_since(job) + settings_.heartbeatIntervalS + after;
+    if (job.service()) return jobHistories_.open_since(job) + settings_.heartbeatIntervalS + after;
     return static_cast<double>(job.atS) + 1 + after;
 }
 
@@ -192,16 +192,17 @@
     std::map<std::string, std::size_t> at;
     if (!reservations_.empty())
         for (std::size_t i = 0; i < count; ++i) at[plan.records[i]->name] = i;
-    std::erase_if(reservations_, [&](const auto& e) { return e.second.untilS < now.wall || !state_->job(e.first); });
+    std::erase_if(reservations_,
+                  [&](const auto& e) { return e.second.untilS < now.wall || !context_.state().job(e.first); });
     placement::Planner planner(now.wall, std::move(list), weights(count));
     std::map<std::string, Need> room;  // per team, below its limit
     for (const config::Team& t : settings_.teams) {
-        auto it = state_->teams().find(t.name);
-        double cores = it == state_->teams().end() ? 0 : it->second.total.cores / 1000.0;
-        double gpus = it == state_->teams().end() ? 0 : it->second.total.gpus / 1000.0;
+        auto it = context_.state().teams().find(t.name);
+        double cores = it == context_.state().teams().end() ? 0 : it->second.total.cores / 1000.0;
+        double gpus = it == context_.state().teams().end() ? 0 : it->second.total.gpus / 1000.0;
         room[t.name] = {t.cpusMax > 0 ? t.cpusMax - cores : 1e12, t.gpusMax > 0 ? t.gpusMax - gpus : 1e12, 1e12};
     }
-    for (const auto& [order, job] : state_->queue()) {
+    for (const auto& [order, job] : context_.state().queue()) {
         const wire::JobSpec& s = *job->spec;
         double tasks = job->gang() || job->service() ? s.taskCount : 1;
         Urgent& u = urgent_[{s.team, static_cast<int>(s.priority)}];
@@ -218,7 +219,7 @@
     std::vector<std::pair<std::uint32_t, Need>> sparedRoom;  // what was free there: kind of machine, room
     if (act)
         std::erase_if(heldBack_, [&](const auto& e) {
-            const Job* job = state_->job(e.first);
+            const Job* job = context_.state().job(e.first);
             return !job || job->placed + job->done > 0 || now.steady - e.second.seenS > settings_.heartbeatIntervalS;
         });
     auto hold_back = [&](const Job& job) {
@@ -251,10 +252,9 @@
                 sparedRoom.emplace_back(planner.machines()[machine].nodePool, free);
             }
         }
-        if (auto it = jobHistories_.find(job.id); it != jobHistories_.end() && now.steady < it->second.notBeforeS)
-            continue;
+        if (jobHistories_.backing_off(job.id, now)) continue;
         bool gang = job.wide_gang();
-        if (gang && gang_state(job) != state::GangState::open) continue;
+        if (gang && job.gang_state() != state::GangState::open) continue;
         if (double mine = placement_turn(job); act && mine > now.wall) {
             nextTurnS_ = std::min(nextTurnS_, mine);
             continue;
@@ -279,7 +279,8 @@
         open.clear();
         for (std::uint32_t c = 0; c < job.chunks.size() && open.size() < most; ++c) {
             const auto& chunk = job.chunks[c];
-            std::uint32_t base = c * state_->chunk_size(), n = std::min(state_->chunk_size(), s.taskCount - base);
+            std::uint32_t base = c * context_.state().chunk_size(),
+                          n = std::min(context_.state().chunk_size(), s.taskCount - base);
             if (!chunk.tasks.empty() && chunk.done + chunk.placed == n) continue;
             for (std::uint32_t i = 0; i < n && open.size() < most; ++i)
                 if (chunk.tasks.empty() || chunk.tasks[i].state == TaskState::open) open.push_back(base + i);
@@ -300,7 +301,7 @@
             }
             std::uint32_t index = open[started++];
             HostRecord* h = plan.records[slots[k].machine];
-            std::uint32_t attempt = job.task(index, state_->chunk_size()).attempt + 1;
+            std::uint32_t attempt = job.task(index, context_.state().chunk_size()).attempt + 1;
             if (gang) {
                 whole.tasks.emplace_back(index, h);
                 whole.attempt = std::max(whole.attempt, attempt);
@@ -330,22 +331,22 @@
 }
 
 void Core::place(state::TransactionBuilder& builder, Timestamp now) {
-    if (state_->queue().empty()) return;
+    if (context_.state().queue().empty()) return;
     // Planning is the costly part of a round: only when something it depends on has changed, or time has passed.
-    std::uint64_t newest = state_->queue().rbegin()->first;
-    if (!planDue_ && newest == lastOrder_ && now.steady - plannedS_ < settings_.heartbeatIntervalS / 6 &&
+    std::uint64_t newest = context_.state().queue().rbegin()->first;
+    if (!schedule_.plan_due() && newest == lastOrder_ && now.steady - plannedS_ < settings_.heartbeatIntervalS / 6 &&
         now.wall < nextTurnS_)
         return;
-    planDue_ = false;
+    schedule_.begin_plan();
     lastOrder_ = newest;
     plannedS_ = now.steady;
     Plan plan = make_plan(now, true);
     preempt(plan, now);
     for (const auto& start : plan.starts) {
         bool wide = start.tasks.size() > 1;
-        bool mine = !wide && led_here(start.tasks.front().second);
+        bool mine = !wide && context_.led_here(start.tasks.front().second);
         bool whole = wide || start.job->service();  // placed on machines of any leader
-        if (whole ? !mine && !responsible(*start.job) : !mine) {
+        if (whole ? !mine && !context_.responsible(*start.job) : !mine) {
             if (!whole && start.job->spec->taskCount == 1) {
                 HostRecord* h = start.tasks.front().second;
                 auto [it, fresh] = unstartedSince_.try_emplace(h->name, now.steady);
@@ -354,7 +355,7 @@
             continue;
         }
         if (!builder.place(*start.job, start.tasks, start.attempt, static_cast<std::int64_t>(now.wall))) {
-            roundDue_ = planDue_ = true;
+            schedule_.request_replan();
             return;
         }
     }
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -53,7 +53,7 @@
                 bool borrowed = !u.overQuota && v.team != s.team && overQuota.count(ref.job) && !v.service();
                 if (!lower && !borrowed) continue;
                 if (ref.job == u.job || ref.job->wide_gang() || taken.count({ref.job, ref.index})) continue;
-                double ran = now.wall - ref.job->task(ref.index, state_->chunk_size()).atS;
+                double ran = now.wall - ref.job->task(ref.index, context_.state().chunk_size()).atS;
                 double lost = v.service()                 ? v.imageGb / m.fetchGbPerS
                               : v.checkpointIntervalS > 0 ? v.checkpointWriteS
                                                           : ran;
@@ -113,11 +113,11 @@
                 taken.insert({v.job, v.index});
                 kept.untilS =
                     std::max(kept.untilS, now.wall + v.job->spec->checkpointWriteS + 2 * settings_.heartbeatIntervalS);
-                if (!led_here(h)) continue;
-                HostTracker& tracker = trackers_[h->name];
+                if (!context_.led_here(h)) continue;
+                HostTracker& tracker = hosts_.track(h->name);
                 if (tracker.evict.try_emplace({v.job->id, v.index}, now.steady).second) {
                     spdlog::info("preempt {}/{} on {} for {}", v.job->id, v.index, h->name, u.job->id);
-                    mark_due(*h);
+                    schedule_.mark_due(*h);
                 }
             }
         }
--- a/src/controller/queue_order.cpp
+++ b/src/controller/queue_order.cpp
@@ -37,7 +37,7 @@
 std::set<const Job*> Core::jobs_over_quota() const {
     std::set<const Job*> out;
     std::map<std::string, std::pair<double, double>> used;
-    for (const auto& [order, job] : state_->queue()) {
+    for (const auto& [order, job] : context_.state().queue()) {
         if (job->state != JobState::active || job->done == job->spec->taskCount) continue;
         const wire::JobSpec& s = *job->spec;
         auto& [cores, gpus] = used[s.team];
@@ -53,7 +53,7 @@
 std::vector<Core::QueuedJob> Core::ordered_queue(const std::vector<placement::Machine>& machines, Timestamp now) const {
     std::vector<QueuedJob> out;
     auto overQuota = jobs_over_quota();
-    for (const auto& [order, job] : state_->queue())
+    for (const auto& [order, job] : context_.state().queue())
         if (job->state == JobState::active && job->open() > 0)
             out.push_back({job, static_cast<int>(job->spec->priority), overQuota.count(job) > 0});
     std::stable_sort(out.begin(), out.end(), [](const QueuedJob& a, const QueuedJob& b) {
@@ -112,8 +112,8 @@
 // The tasks that it is to start at once, all of a gang or one of a batch, fit below the team's limit now.
 bool Core::has_team_room(const wire::JobSpec& s) const {
     const config::Team* team = settings_.team(s.team);
-    auto used = state_->teams().find(s.team);
-    if (!team || used == state_->teams().end()) return true;
+    auto used = context_.state().teams().find(s.team);
+    if (!team || used == context_.state().teams().end()) return true;
     double tasks = s.kind == wire::JobKind::gang ? s.taskCount : 1;
     auto fits = [&](double limit, std::int64_t use, double more) {
         return limit <= 0 || static_cast<double>(use) / 1000 + more * tasks <= limit + 1e-9;
--- a/src/controller/scale_in.cpp
+++ b/src/controller/scale_in.cpp
@@ -24,20 +24,20 @@
     // What is lost has nothing to save: it is returned at once.
     auto lostAt = static_cast<std::int64_t>(now.wall - settings_.leaseS);
     // Since when a gang has surely noticed that a task's machine is gone.
-    double noticed = kSilentHeartbeats * settings_.heartbeatIntervalS + settings_.gangPeerS;
+    double noticed = hosts_.silent_after() + settings_.gangPeerS;
     std::map<std::string, std::pair<std::size_t, std::size_t>> quietOf;  // by zone: how many, of how many
     std::size_t quietHere = 0, allHere = 0;
-    for (auto& [name, n] : trackers_) {
-        HostRecord* h = state_->host(name);
-        if (!led_here(h) || h->leaves()) continue;
+    for (auto& [name, n] : hosts_.all()) {
+        HostRecord* h = context_.state().host(name);
+        if (!context_.led_here(h) || h->leaves()) continue;
         auto& [quiet, all] = quietOf[h->zone];
-        quiet += silent(n, now);
-        quietHere += silent(n, now);
+        quiet += hosts_.silent(n, now);
+        quietHere += hosts_.silent(n, now);
         ++all, ++allHere;
     }
-    for (auto& [name, n] : trackers_) {
-        HostRecord* h = state_->host(name);
-        if (!led_here(h) || h->leaves()) continue;
+    for (auto& [name, n] : hosts_.all()) {
+        HostRecord* h = context_.state().host(name);
+        if (!context_.led_here(h) || h->leaves()) continue;
         bool faulty = n.failedJobs.size() >= 2 && n.failures >= 3;
         bool confirmed = n.state == HostState::confirmed || n.state == HostState::silent;
         // Expired, or never confirmed and silent since: only the cloud's word frees what the latter may hold.
@@ -56,7 +56,7 @@
             std::any_of(h->placed.begin(), h->placed.end(), [](const TaskRef& ref) { return ref.job->wide_gang(); });
         // Where half of all is silent, it is rather this controller that is cut off, and others take them over.
         const bool cutOff = 2 * quietHere >= allHere;
-        bool cancelled = !cutOff && holds_cancelled(*h, n, now);
+        bool cancelled = !cutOff && cancellations_.holds_cancelled(*h, n, now);
         bool service = !cutOff && 3 * quiet <= all && n.state == HostState::silent &&
                        n.lease.age(now.steady) > kServiceSilentHeartbeats * settings_.heartbeatIntervalS &&
                        holds_service(*h);
@@ -73,19 +73,19 @@
     }
     if (!holds_cloud_role()) return;
     std::vector<HostRecord*> removable;
-    for (const auto& [name, h] : state_->hosts()) {
+    for (const auto& [name, h] : context_.state().hosts()) {
         if (!h->shard) continue;
         if (h->gone() && h->placed.empty() && now.wall - h->leavingAtS > 3 * settings_.leaseS)
             removable.push_back(h.get());
         if (h->leaves() || !h->registered()) continue;
         // Nobody keeps it: either it finds another controller soon, or it is dead or cut off.
         auto [it, fresh] = unownedSince_.try_emplace(name, now.steady);
-        if (!unowned(*h))
+        if (!context_.unowned(*h))
             unownedSince_.erase(it);
         else if (now.steady - it->second > 1.5 * settings_.leaseS)
             builder.mark_for_return(name, h->zone, at, false, "unowned");
         if (auto idle = idleSince_.find(name); idle != idleSince_.end() && h->placed.empty()) {
-            const auto* t = state_->type(h->machineType);
+            const auto* t = context_.state().type(h->machineType);
             if (t && now.steady - idle->second > std::max(6 * settings_.leaseS, 3 * t->startupS))
                 builder.mark_for_return(name, h->zone, at, false, "surplus");
         }
@@ -93,9 +93,9 @@
     for (HostRecord* h : removable)
         if (!builder.remove_host(*h)) return;
     for (const auto& m : cloud_.machines) {
-        HostRecord* h = state_->host(m.name);
+        HostRecord* h = context_.state().host(m.name);
         if (h && h->leaves()) continue;
-        const auto* t = state_->type(m.machineType);
+        const auto* t = context_.state().type(m.machineType);
         double boot = t ? t->startupS : 60;
         bool known = h && h->registered();
         bool stuck = m.phase != "running" && !known && m.heldS > 4 * boot + settings_.listLagS;
@@ -108,7 +108,7 @@
 std::vector<std::string> Core::scale_in_due(Timestamp now) {
     std::vector<std::string> out;
     if (!holds_cloud_role()) return out;
-    for (const auto& [name, h] : state_->hosts()) {
+    for (const auto& [name, h] : context_.state().hosts()) {
         if (h->leaving != state::Leaving::marked) continue;
         // What runs there gets the time to save; a machine that is lost has nothing to save.
         if (h->placed.empty() || now.wall - h->leavingAtS > settings_.leaseS / 2) out.push_back(name);
@@ -119,7 +119,7 @@
 
 void Core::mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now) {
     for (const std::string& name : hosts) {
-        HostRecord* h = state_->host(name);
+        HostRecord* h = context_.state().host(name);
         if (h && h->leaving == state::Leaving::marked)
             builder.mark_for_return(name, h->zone, static_cast<std::int64_t>(now.wall), true, "returned");
     }
--- a/src/controller/scale_out.cpp
+++ b/src/controller/scale_out.cpp
@@ -39,9 +39,9 @@
 
 // What lacks room, and which machines nobody needs.
 void Core::plan_scale_out(Timestamp now) {
-    now_ = now;
+    context_.set_now(now);
     unmetDemand_.clear();
-    if (!holds_cloud_role() || state_->types().empty()) return;
+    if (!holds_cloud_role() || context_.state().types().empty()) return;
     Plan plan = make_plan(now, false);
     for (const auto& u : plan.unmet) unmetDemand_.emplace_back(*u.job->spec, u.tasks);
     // Ahead of demand: what usually arrives while a machine boots.
@@ -51,7 +51,7 @@
         double tasks = 0;
         for (const auto& [at, n] : jobClass.arrivals) tasks += n;
         double boot = 0;
-        for (const auto& [typeName, t] : state_->types())
+        for (const auto& [typeName, t] : context_.state().types())
             if (need_of(jobClass.last).fits({t.cores, t.gpus, t.ramGb})) boot = std::max(boot, t.startupS);
         auto target = static_cast<std::uint32_t>(std::ceil(tunables_.headroom * tasks * boot / window));
         const config::Team* team = settings_.team(jobClass.last.team);
@@ -73,10 +73,10 @@
 
 std::vector<ScaleOutRequest> Core::scale_out_requests(Timestamp now) {
     std::vector<ScaleOutRequest> out;
-    if (!holds_cloud_role() || state_->types().empty()) return out;
+    if (!holds_cloud_role() || context_.state().types().empty()) return out;
     std::erase_if(pendingHosts_, [&](auto& e) {
-        HostRecord* h = state_->host(e.first);
-        const auto* t = state_->type(e.second.what.machineType);
+        HostRecord* h = context_.state().host(e.first);
+        const auto* t = context_.state().type(e.second.what.machineType);
         return (h && (h->registered() || h->leaves())) ||
                now.steady - e.second.sinceS > 4 * (t ? t->startupS : 60) + 30;
     });
@@ -85,7 +85,7 @@
     std::vector<ScaleOutRequest> kinds;
     std::map<std::string, std::uint32_t> onTheWay;
     for (const auto& [name, c] : pendingHosts_) ++onTheWay[offer_key(c.what)];
-    for (const auto& [typeName, t] : state_->types())
+    for (const auto& [typeName, t] : context_.state().types())
         for (const std::string& zone : t.zones)
             for (bool spot : {false, true}) {
                 ScaleOutRequest kind{typeName, zone, spot, 0};
@@ -107,7 +107,7 @@
         wants.push_back(std::move(w));
     }
     // In one go, at most what a few calls bring, or a sixteenth of the machines there are.
-    auto most = static_cast<std::uint32_t>(std::max<std::size_t>(20, state_->hosts().size() / 16));
+    auto most = static_cast<std::uint32_t>(std::max<std::size_t>(20, context_.state().hosts().size() / 16));
     for (const auto& r : placement::choose_scale_out(offers, wants, pending, most)) {
         ScaleOutRequest o = kinds[r.offer];
         o.number = std::min(r.number, 50u);
--- a/src/controller/task_reconciliation.cpp
+++ b/src/controller/task_reconciliation.cpp
@@ -9,6 +9,7 @@
 
 namespace wellstair::controller {
 
+using reconciliation::JobHistory;
 using state::GangState;
 using state::HostRecord;
 using state::HostState;
@@ -31,10 +32,10 @@
 }  // namespace
 
 void Core::apply_status(const wire::Heartbeat& r, workers::StatusSource source, Timestamp now) {
-    now_ = now;
-    HostRecord* h = state_->host(r.host);
-    if (!led_here(h)) return;
-    HostTracker& n = trackers_[r.host];
+    context_.set_now(now);
+    HostRecord* h = context_.state().host(r.host);
+    if (!context_.led_here(h)) return;
+    HostTracker& n = hosts_.track(r.host);
     if (!n.newer(r)) return;  // held back on the way, or overtaken: as old as it is
     const bool heartbeat = source == workers::StatusSource::heartbeat;
     std::map<TaskKey, workers::ObservedTask> before = n.tasks;
@@ -42,7 +43,7 @@
     bool confirmedBefore = n.state == HostState::confirmed, noticeBefore = n.preemptionAtS.has_value();
     n.take(r, source, now.steady);
     bool changed = before.size() != n.tasks.size() || noticeBefore != n.preemptionAtS.has_value();
-    if (n.missedAnswers != missedAnswersBefore) planDue_ = true;
+    if (n.missedAnswers != missedAnswersBefore) schedule_.request_plan();
     if (missedAnswersBefore < 2 && n.unreachable())
         spdlog::info("host {} sends heartbeats, but our answers do not reach it (unreachable one way)", r.host);
     if (missedAnswersBefore >= 2 && !n.missedAnswers) spdlog::info("our answers reach host {} again", r.host);
@@ -53,7 +54,7 @@
         changed = true;
         if (seen.phase == wire::TaskPhase::ended) record_task_end(n, r.host, key, seen, now);
         if (seen.phase == wire::TaskPhase::running || seen.phase == wire::TaskPhase::waiting)
-            if (Job* job = state_->job(key.first)) {
+            if (Job* job = context_.state().job(key.first)) {
                 h->cache.ready(job->spec->image, job->spec->imageGb, now.wall);
                 spdlog::debug("task {}/{} of {} runs on {}, {:.1f} s after its submission", key.first, key.second,
                               job->spec->team, r.host, now.wall - static_cast<double>(job->atS));
@@ -67,17 +68,17 @@
         n.state.become(HostState::confirmed);
     }
     if (changed || !confirmedBefore) {
-        roundDue_ = true;
-        mark_due(*h);
+        schedule_.request_round();
+        schedule_.mark_due(*h);
     }
-    if (!confirmedBefore || noticeBefore != n.preemptionAtS.has_value()) planDue_ = true;
+    if (!confirmedBefore || noticeBefore != n.preemptionAtS.has_value()) schedule_.request_plan();
 }
 
 // A replica that ends again and again, for whatever cause, is tried with growing pauses; an earlier spell is forgotten
 // after two leases without an end.
 void Core::record_replica_end(const Job& job, const std::string& host, Timestamp now) {
     constexpr int kEndsAtOnce = 3;  // that are restarted without a pause
-    JobHistory& history = jobHistories_[job.id];
+    JobHistory& history = jobHistories_.of(job.id);
     if (now.steady - history.lastFailureS > kLongestRest * settings_.leaseS) history = {};
     history.lastFailureS = now.steady;
     history.failedOn.insert(host);
@@ -89,7 +90,7 @@
 void Core::record_task_end(HostTracker& n, const std::string& host, const TaskKey& key,
                            const workers::ObservedTask& seen, Timestamp now) {
     using wire::Cause;
-    const Job* service = state_->job(key.first);
+    const Job* service = context_.state().job(key.first);
     if (service && !service->service()) service = nullptr;
     if (service && (seen.cause == Cause::done || seen.cause == Cause::error)) record_replica_end(*service, host, now);
     if (seen.cause == Cause::done) {
@@ -98,7 +99,7 @@
         n.quarantineUntilS = -1e9;
         if (!service) jobHistories_.erase(key.first);
     } else if (seen.cause == Cause::error) {
-        JobHistory& j = jobHistories_[key.first];
+        JobHistory& j = jobHistories_.of(key.first);
         j.failedOn.insert(host);
         if (!service) ++j.failures;
         ++n.failures;
@@ -119,52 +120,46 @@
         spdlog::info("task {}/{} failed on {} ({} in a row there, job failed on {} machines)", key.first, key.second,
                      host, n.failures, j.failedOn.size());
     } else if (seen.cause == Cause::unknown || seen.cause == Cause::busy || seen.cause == Cause::full) {
-        JobHistory& j = jobHistories_[key.first];
+        JobHistory& j = jobHistories_.of(key.first);
         j.notBeforeS = std::max(j.notBeforeS, now.steady + settings_.heartbeatIntervalS / 3);
         spdlog::info("start of {}/{} refused by {}: {}", key.first, key.second, host, static_cast<int>(seen.cause));
     }
 }
 
 void Core::on_task_change(Job& job, std::uint32_t index, const Task& before, const Task& after) {
-    roundDue_ = true;
+    schedule_.request_round();
     TaskKey key{job.id, index};
     if (before.host && before.host != after.host)
-        if (HostTracker* n = tracker(before.host->name)) n->evict.erase(key);
-    if (job.service() && before.host && !after.host) replicaLostS_[job.id] = now_.wall;
+        if (HostTracker* n = hosts_.find(before.host->name)) n->evict.erase(key);
+    if (job.service() && before.host && !after.host) jobHistories_.record_lost_replica(job.id, context_.now());
     if (before.host) {
-        planDue_ = true;
-        mark_due(*before.host);
+        schedule_.request_plan();
+        schedule_.mark_due(*before.host);
         // A gang that has lost a task stops: its other hosts have something to do.
-        if (!after.host && job.gang()) mark_job_due(job);
+        if (!after.host && job.gang()) schedule_.mark_job_due(job);
     }
-    if (after.host) mark_due(*after.host);
+    if (after.host) schedule_.mark_due(*after.host);
     if (after.host && after.host != before.host) unstartedSince_.erase(after.host->name);
 }
 
-GangState Core::gang_state(const Job& job) const {
-    if (job.done == job.spec->taskCount) return GangState::done;
-    if (job.placed + job.done == job.spec->taskCount) return GangState::placed;
-    if (job.placed == 0 && job.done == 0) return GangState::open;
-    return GangState::broken;
-}
-
 bool Core::stopping(const Job& job, const Task& task) const {
-    if (cancelled(job)) return true;
+    if (cancellations_.cancelled(job)) return true;
     if (!job.wide_gang()) return false;
-    return gang_state(job) == GangState::broken || (job.stopAttempt && job.stopAttempt == task.attempt);
+    return job.gang_state() == GangState::broken || (job.stopAttempt && job.stopAttempt == task.attempt);
 }
 
 // A task is done or gone only by proof. Silence proves nothing, one heartbeat only what its tokens bear out.
 Core::TerminationProof Core::termination_proof(const HostRecord& h, const TaskRef& ref) {
     const TerminationProof none;
-    Task s = ref.job->task(ref.index, state_->chunk_size());
+    Task s = ref.job->task(ref.index, context_.state().chunk_size());
     // The cloud's word. A record is removed only after that, so a task placed without comparing the range may name it.
     if (h.gone() || h.removed())
-        return responsible(*ref.job) ? TerminationProof{TerminationProof::gone, "the cloud has the machine"} : none;
-    if (!led_here(&h)) return none;
-    auto it = trackers_.find(h.name);
-    if (it == trackers_.end()) return none;
-    HostTracker& n = it->second;
+        return context_.responsible(*ref.job) ? TerminationProof{TerminationProof::gone, "the cloud has the machine"}
+                                              : none;
+    if (!context_.led_here(&h)) return none;
+    HostTracker* tracker = hosts_.find(h.name);
+    if (!tracker) return none;
+    HostTracker& n = *tracker;
     if (n.state == HostState::expired) return {TerminationProof::gone, "the lease has expired"};
     if (n.state != HostState::confirmed) return none;  // older commands may still reach the host
     TaskKey key{ref.job->id, ref.index};
@@ -200,7 +195,7 @@
 bool Core::in_sync(const HostRecord& h, const HostTracker& n) const {
     if (n.tasks.size() != h.placed.size()) return false;
     for (const TaskRef& ref : h.placed) {
-        Task s = ref.job->task(ref.index, state_->chunk_size());
+        Task s = ref.job->task(ref.index, context_.state().chunk_size());
         TaskKey key{ref.job->id, ref.index};
         auto seen = n.tasks.find(key);
         if (seen == n.tasks.end() || seen->second.attempt != s.attempt ||
@@ -216,34 +211,28 @@
     if (job.open() > 0) return false;
     for (std::uint32_t i = 0; i < job.spec->taskCount; ++i) {
         if (i == index) continue;
-        Task other = job.task(i, state_->chunk_size());
+        Task other = job.task(i, context_.state().chunk_size());
         if (!other.host) return false;
-        const double fetchS = job.spec->imageGb / state_->fetch_rate(other.host->machineType);
+        const double fetchS = job.spec->imageGb / context_.state().fetch_rate(other.host->machineType);
         if (now.wall - static_cast<double>(other.atS) < fetchS + settings_.heartbeatIntervalS) return false;
-        auto it = trackers_.find(other.host->name);
-        if (it != trackers_.end() && it->second.evict.count({job.id, i})) return false;
+        const HostTracker* tracker = hosts_.find(other.host->name);
+        if (tracker && tracker->evict.count({job.id, i})) return false;
     }
     return true;
 }
 
-double Core::open_since(const Job& job) const {
-    auto lost = replicaLostS_.find(job.id);
-    const auto submitted = static_cast<double>(job.atS);
-    return lost == replicaLostS_.end() ? submitted : std::max(submitted, lost->second);
-}
-
 bool Core::holds_service(const HostRecord& h) const {
     return std::any_of(h.placed.begin(), h.placed.end(),
-                       [&](const TaskRef& ref) { return ref.job->service() && !cancelled(*ref.job); });
+                       [&](const TaskRef& ref) { return ref.job->service() && !cancellations_.cancelled(*ref.job); });
 }
 
 void Core::release_finished_tasks(state::TransactionBuilder& builder, Timestamp now) {
-    for (const std::string& name : dueHosts_) {
-        HostRecord* record = state_->host(name);
+    for (const std::string& name : schedule_.due_hosts()) {
+        HostRecord* record = context_.state().host(name);
         if (!record || record->placed.empty()) continue;
-        if (!record->gone() && !record->removed() && !led_here(record)) continue;
+        if (!record->gone() && !record->removed() && !context_.led_here(record)) continue;
         auto placed = record->placed;
-        HostTracker* n = tracker(name);
+        HostTracker* n = hosts_.find(name);
         for (const TaskRef& ref : placed) {
             // Going away, by the cloud's notice or by our own mark: stop what can save.
             if (n && (n->preemptionAtS || record->leaves()) && !record->gone()) {
@@ -251,7 +240,7 @@
                     if (may_move_replica(*ref.job, ref.index, now))
                         n->evict.try_emplace({ref.job->id, ref.index}, now.steady);
                 } else if (ref.job->wide_gang()) {
-                    Task s = ref.job->task(ref.index, state_->chunk_size());
+                    Task s = ref.job->task(ref.index, context_.state().chunk_size());
                     if (ref.job->stopAttempt != s.attempt && ref.job->state == JobState::active)
                         builder.stop_attempt(*ref.job, s.attempt);
                 } else {
@@ -271,7 +260,7 @@
             if (ref.job->gang() && ref.job->done > 0 && ref.job->state == JobState::active) p = TerminationProof::done;
             if (!builder.release_task(*ref.job, ref.index,
                                       p == TerminationProof::done ? TaskState::done : TaskState::open)) {
-                roundDue_ = true;
+                schedule_.request_round();
                 return;
             }
         }
--- /dev/null
+++ b/src/leadership/cancellation_registry.cpp
@@ -0,0 +1,89 @@
+#include "leadership/cancellation_registry.hpp"
+
+#include <algorithm>
+
+namespace wellstair::leadership {
+
+using state::HostRecord;
+using state::HostState;
+using state::Job;
+using state::JobState;
+using state::TaskRef;
+using workers::HostTracker;
+
+namespace {
+
+// Of `cancel_s`, how long a silent host may keep a cancelled task before it is returned to the cloud. Longer than a
+// host that is well is ever silent; what is left is for the cloud role to change hands and for the call to be repeated.
+constexpr double kReturnAfter = 0.55;
+// Heartbeat intervals after an outage in which all hosts are given time to be heard again.
+constexpr double kQuietAfterOutage = 3;
+// Heartbeat intervals for which a host that was taken over may fail to confirm its new leader.
+constexpr double kUnconfirmedHeartbeats = 2;
+
+}  // namespace
+
+bool CancellationRegistry::cancelled(const std::string& id) const {
+    if (const auto* final = context_.state().final(id)) return final->state == JobState::aborted;
+    if (uncached_.count(id)) return true;
+    const Job* job = context_.state().job(id);
+    return job && job->state == JobState::cancelled;
+}
+
+bool CancellationRegistry::cancelled(const Job& job) const {
+    return job.state == JobState::cancelled || (!uncached_.empty() && uncached_.count(job.id));
+}
+
+std::vector<std::string> CancellationRegistry::all() const {
+    std::vector<std::string> jobs(uncached_.begin(), uncached_.end());
+    for (const auto& [order, job] : context_.state().queue())
+        if (job->state == JobState::cancelled && !uncached_.count(job->id)) jobs.push_back(job->id);
+    return jobs;
+}
+
+void CancellationRegistry::record(const std::vector<std::string>& jobs) {
+    for (const std::string& id : jobs) {
+        if (cancelled(id) || !uncached_.insert(id).second) continue;
+        if (const Job* job = context_.state().job(id)) schedule_.mark_job_due(*job);
+    }
+}
+
+void CancellationRegistry::forget_cached() {
+    std::erase_if(uncached_, [&](const std::string& id) {
+        const Job* job = context_.state().job(id);
+        return context_.state().final(id) || (job && job->state == JobState::cancelled);
+    });
+}
+
+bool CancellationRegistry::may_start_cancelled(const HostRecord& host) const {
+    const HostTracker* tracker = hosts_.find(host.name);
+    if (!tracker) return false;
+    return std::any_of(host.placed.begin(), host.placed.end(), [&](const TaskRef& ref) {
+        if (!cancelled(*ref.job)) return false;
+        auto sent = tracker->starts.find({ref.job->id, ref.index});
+        return sent != tracker->starts.end() && !sent->second.seen &&
+               (sent->second.inFlight > 0 || sent->second.unanswered > 0);
+    });
+}
+
+// A host that hangs does nothing and may resume with what it has; whether its worker counts the lease meanwhile is not
+// known.
+bool CancellationRegistry::holds_cancelled(const HostRecord& host, const HostTracker& tracker, Timestamp now) const {
+    const config::Settings& settings = context_.settings();
+    if (now.steady - context_.serving_since() < kQuietAfterOutage * settings.heartbeatIntervalS) return false;
+    if (tracker.state == HostState::silent || tracker.state == HostState::expired)
+        // Cancelled after its last heartbeat, or it would have ended the task on the answer to that.
+        return tracker.lease.age(now.steady) > kReturnAfter * settings.cancelS &&
+               std::any_of(tracker.tasks.begin(), tracker.tasks.end(), [&](const auto& entry) {
+                   return entry.second.phase != wire::TaskPhase::ended && cancelled(entry.first.first);
+               });
+    // Taken over from another leader and not heard here: what it holds is known by the state service alone.
+    return tracker.state == HostState::led &&
+           now.steady - tracker.unconfirmedS > kUnconfirmedHeartbeats * settings.heartbeatIntervalS &&
+           std::any_of(host.placed.begin(), host.placed.end(), [&](const TaskRef& ref) {
+               return ref.job->state == JobState::cancelled &&
+                      now.wall - static_cast<double>(ref.job->cancelledAtS) > kReturnAfter * settings.cancelS;
+           });
+}
+
+}  // namespace wellstair::leadership
--- /dev/null
+++ b/src/leadership/controller_context.cpp
@@ -0,0 +1,49 @@
+#include "leadership/controller_context.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include "common/stable_hash.hpp"
+
+namespace wellstair::leadership {
+
+using state::Availability;
+using state::AvailabilityTraits;
+
+ControllerContext::ControllerContext(const config::Settings& settings, std::uint64_t incarnation)
+    : settings_(settings), incarnation_(incarnation) {}
+
+void ControllerContext::reset_state(const state::LayoutRecord& layout) {
+    state_ = std::make_unique<state::StateCache>(layout.chunkSize, layout.shardWidth);
+    stateReady_ = false;
+}
+
+void ControllerContext::set_availability(Availability next, Timestamp now) {
+    const Availability before = availability_;
+    if (!availability_.become(next)) return;
+    if (next == Availability::serving) servingSinceS_ = now.steady;
+    spdlog::info("availability {} -> {}", AvailabilityTraits::name(before), AvailabilityTraits::name(next));
+}
+
+std::uint64_t ControllerContext::member_revision() const {
+    auto it = state_->members().find(settings_.member);
+    return it != state_->members().end() && it->second.incarnation == incarnation_ ? it->second.revision : 0;
+}
+
+bool ControllerContext::led_here(const state::HostRecord* host) const {
+    return host && host->registered() && host->leader == settings_.member && host->incarnation == incarnation_;
+}
+
+bool ControllerContext::unowned(const state::HostRecord& host) const {
+    auto leader = state_->members().find(host.leader);
+    return host.registered() && (leader == state_->members().end() || leader->second.incarnation != host.incarnation);
+}
+
+bool ControllerContext::responsible(const state::Job& job) const {
+    if (state_->member_live(job.owner)) return job.owner == settings_.member;
+    const std::string* best = nullptr;
+    for (const auto& [name, record] : state_->members())
+        if (!best || stable_hash(name, job.id) > stable_hash(*best, job.id)) best = &name;
+    return best && *best == settings_.member;
+}
+
+}  // namespace wellstair::leadership
--- /dev/null
+++ b/src/leadership/shard_assignment.cpp
@@ -0,0 +1,41 @@
+#include "leadership/shard_assignment.hpp"
+
+#include <algorithm>
+#include <vector>
+
+#include "common/stable_hash.hpp"
+
+namespace wellstair::leadership {
+
+const std::string& ShardAssignment::preferred_leader(const state::HostShard& shard) const {
+    static const std::string kNone;
+    const config::Settings& settings = context_.settings();
+    std::vector<const std::string*> sameZone, all;
+    auto consider = [&](const std::string& name, const std::string& zone) {
+        all.push_back(&name);
+        if (zone == shard.zone) sameZone.push_back(&name);
+    };
+    consider(settings.member, settings.location);
+    for (const auto& member : settings.members) consider(member.name, member.zone);
+
+    auto& candidates = sameZone.empty() ? all : sameZone;
+    std::sort(candidates.begin(), candidates.end(), [](auto* a, auto* b) { return *a < *b; });
+    const std::string& regular = *candidates[shard.number % candidates.size()];
+    if (context_.state().member_live(regular)) return regular;
+
+    for (auto* group : {&sameZone, &all}) {
+        const std::string* best = nullptr;
+        for (const std::string* name : *group) {
+            if (!context_.state().member_live(*name)) continue;
+            if (!best || stable_hash(*name, shard.key) > stable_hash(*best, shard.key)) best = name;
+        }
+        if (best) return *best;
+    }
+    return kNone;
+}
+
+bool ShardAssignment::assigned_here(const state::HostShard& shard) const {
+    return preferred_leader(shard) == context_.member();
+}
+
+}  // namespace wellstair::leadership
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -74,6 +74,18 @@
     });
 }
 
+GangState Job::gang_state() const {
+    if (done == spec->taskCount) return GangState::done;
+    if (placed + done == spec->taskCount) return GangState::placed;
+    if (placed == 0 && done == 0) return GangState::open;
+    return GangState::broken;
+}
+
+const Job* StateCache::job(const std::string& id) const {
+    auto it = jobs_.find(id);
+    return it == jobs_.end() ? nullptr : it->second.get();
+}
+
 Job* StateCache::job(const std::string& id) {
     auto it = jobs_.find(id);
     return it != jobs_.end() && it->second->known() ? it->second.get() : nullptr;
@@ -84,6 +96,11 @@
     return it == finals_.end() ? nullptr : &it->second;
 }
 
+const HostRecord* StateCache::host(const std::string& name) const {
+    auto it = hosts_.find(name);
+    return it == hosts_.end() ? nullptr : it->second.get();
+}
+
 HostRecord* StateCache::host(const std::string& name) {
     auto it = hosts_.find(name);
     return it == hosts_.end() ? nullptr : it->second.get();
--- a/src/state/state_cache.hpp
+++ b/src/state/state_cache.hpp
@@ -76,6 +76,8 @@
     bool known() const { return spec && activeRevision; }
     std::uint32_t open() const { return spec->taskCount - done - placed; }
     bool gang() const { return spec->kind == wire::JobKind::gang; }
+    // Follows from the states of the tasks.
+    GangState gang_state() const;
     // Tasks that run all together or not at all; a gang of one is like a batch of one.
     bool wide_gang() const { return gang() && spec->taskCount > 1; }
     bool service() const { return spec->service(); }
@@ -153,8 +155,10 @@
     std::uint32_t chunk_of(std::uint32_t index) const { return index / chunkSize_; }
 
     Job* job(const std::string& id);
+    const Job* job(const std::string& id) const;
     const Final* final(const std::string& id) const;
     HostRecord* host(const std::string& name);
+    const HostRecord* host(const std::string& name) const;
     const std::map<std::string, std::unique_ptr<HostShard>>& shards() const { return shards_; }
     // The number for the next part of a range: higher than that of each part there is.
     std::uint32_t next_split(const HostShard& shard) const;
--- /dev/null
+++ b/src/workers/host_table.cpp
@@ -0,0 +1,19 @@
+#include "workers/host_table.hpp"
+
+namespace wellstair::workers {
+
+HostTracker* HostTable::find(const std::string& host) {
+    auto it = trackers_.find(host);
+    return it == trackers_.end() ? nullptr : &it->second;
+}
+
+const HostTracker* HostTable::find(const std::string& host) const {
+    auto it = trackers_.find(host);
+    return it == trackers_.end() ? nullptr : &it->second;
+}
+
+bool HostTable::silent(const HostTracker& host, Timestamp now) const {
+    return host.lease.age(now.steady) > silent_after();
+}
+
+}  // namespace wellstair::workers
--- /dev/null
+++ b/src/workers/host_table.hpp
@@ -0,0 +1,42 @@
+// The trackers of all hosts that this controller leads or has led of late, by host name.
+//
+// Owns the trackers. Single-threaded, free of I/O.
+#pragma once
+
+#include <string>
+#include <unordered_map>
+
+#include "common/timestamp.hpp"
+#include "config/settings.hpp"
+#include "workers/host_tracker.hpp"
+
+namespace wellstair::workers {
+
+class HostTable {
+  public:
+    using Trackers = std::unordered_map<std::string, HostTracker>;
+
+    explicit HostTable(const config::Settings& settings) : settings_(settings) {}
+
+    // Nothing if the host is not tracked.
+    HostTracker* find(const std::string& host);
+    const HostTracker* find(const std::string& host) const;
+    // Begins to track the host if it is not tracked yet.
+    HostTracker& track(const std::string& host) { return trackers_[host]; }
+    Trackers& all() { return trackers_; }
+    const Trackers& all() const { return trackers_; }
+
+    // Whether the host has sent no heartbeat for longer than one that is well ever does.
+    bool silent(const HostTracker& host, Timestamp now) const;
+    // Seconds without a heartbeat after which a host counts as silent.
+    double silent_after() const { return kSilentHeartbeats * settings_.heartbeatIntervalS; }
+
+  private:
+    // Heartbeat intervals: they vary by a quarter (PROTOCOL, "Workers -> controller nodes"), and one may be late.
+    static constexpr double kSilentHeartbeats = 1.6;
+
+    const config::Settings& settings_;
+    Trackers trackers_;
+};
+
+}  // namespace wellstair::workers
