--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -23,7 +23,9 @@
       cancellations_(context_, hosts_, schedule_),
       assignment_(context_),
       limits_(context_, assignment_, schedule_),
-      failover_(context_, assignment_, cancellations_, hosts_, peers_, schedule_) {
+      failover_(context_, assignment_, cancellations_, hosts_, peers_, schedule_),
+      cloudRole_(context_),
+      scaleIn_(context_, cancellations_, hosts_, cloudRole_, idleHosts_) {
     reset_state();
 }
 
@@ -125,13 +127,6 @@
     return out;
 }
 
-// The role hangs on this process's lease. Inherited by name alone it would end with the lease of the one before, in the
-// middle of this one's calls.
-bool Core::take_cloud_role(state::TransactionBuilder& builder, std::uint64_t leaseId) const {
-    Json holder = {{"by", settings_.member}, {"inc", context_.incarnation()}};
-    return builder.put(state::keys::kCloudRole, context_.state().cloud_role_revision(), std::move(holder), leaseId);
-}
-
 bool Core::advance_time(Timestamp now) {
     context_.set_now(now);
     bool changed = false;
@@ -197,7 +192,7 @@
         if (stage == 2) place(builder, now);
     }
     firstStage_ = schedule_.round_due() ? (firstStage_ + 1) % kStages : 0;
-    propose_scale_in(builder, now);
+    scaleIn_.propose(builder, now);
     if (builder.empty()) failover_.transfer_hosts(builder, now);
     return builder;
 }
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -10,6 +10,8 @@
 #include <unordered_map>
 #include <variant>
 
+#include "autoscaling/cloud_role.hpp"
+#include "autoscaling/scale_in_policy.hpp"
 #include "common/timestamp.hpp"
 #include "config/settings.hpp"
 #include "controller/heartbeat_statistics.hpp"
@@ -128,31 +130,21 @@
     state::LayoutRecord own_layout() const { return limits_.own_layout(); }
 
     // --- cloud (the holder of the role)
-    // This process holds it. One of the same name that has ended holds it until its lease ends: this one takes it over.
-    bool holds_cloud_role() const {
-        return context_.state().cloud_role() == settings_.member &&
-               context_.state().cloud_role_incarnation() == context_.incarnation();
+    bool holds_cloud_role() const { return cloudRole_.held_here(); }
+    bool may_take_cloud_role() const { return cloudRole_.may_acquire(); }
+    bool take_cloud_role(state::TransactionBuilder& builder, std::uint64_t leaseId) const {
+        return cloudRole_.acquire(builder, leaseId);
     }
-    bool may_take_cloud_role() const {
-        return !context_.state().cloud_role_revision() ||
-               (context_.state().cloud_role() == settings_.member && !holds_cloud_role());
-    }
-    bool take_cloud_role(state::TransactionBuilder& builder, std::uint64_t leaseId) const;
-    // Asked before each call: the role lasts as long as the member's lease, which may end while a call is under way.
-    bool may_call_cloud() const { return context_.serving() && member_revision() && holds_cloud_role(); }
-    struct MachineList {
-        std::vector<wire::Machine> machines;
-        double atS = -1e9;
-    };
+    bool may_call_cloud() const { return cloudRole_.may_call_cloud(); }
     void set_machines(std::vector<wire::Machine> machines, Timestamp now);
     void plan_scale_out(Timestamp now);  // once for a series of calls
     std::vector<ScaleOutRequest> scale_out_requests(Timestamp now);
     void rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now);
     void refused(const ScaleOutRequest& order, Timestamp now);
-    std::vector<std::string> scale_in_due(Timestamp now);  // marked: to be returned now
-    // Marks machines for return: surplus, failed, faulty or lost ones.
-    void propose_scale_in(state::TransactionBuilder& builder, Timestamp now);
-    void mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now);
+    std::vector<std::string> scale_in_due(Timestamp now) const { return scaleIn_.due(now); }
+    void mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now) {
+        scaleIn_.mark_gone(builder, hosts, now);
+    }
 
     // --- peers
     void set_peer_status(const peers::PeerStatus& peerStatus, Timestamp now) { peers_.receive(peerStatus, now); }
@@ -187,7 +179,6 @@
     void on_task_change(state::Job& job, std::uint32_t index, const state::Task& before, const state::Task& after);
     void record_replica_end(const state::Job& job, const std::string& host, Timestamp now);
     bool may_move_replica(const state::Job& job, std::uint32_t index, Timestamp now) const;
-    bool holds_service(const state::HostRecord& h) const;
     void record_task_end(workers::HostTracker& n, const std::string& host, const workers::TaskKey& key,
                          const workers::ObservedTask& seen, Timestamp now);
 
@@ -254,6 +245,9 @@
     leadership::ShardAssignment assignment_;
     leadership::StateLimitPolicy limits_;
     failover::HostFailover failover_;
+    autoscaling::CloudRole cloudRole_;
+    autoscaling::IdleHosts idleHosts_;
+    autoscaling::ScaleInPolicy scaleIn_;
     double plannedS_ = -1e9;   // when it was last planned
     double nextTurnS_ = 1e18;  // time of day of the next turn of this controller at some job
     struct NodePool {
@@ -273,7 +267,6 @@
     std::uint64_t lastOrder_ = 0;  // the newest job that was planned for
 
     HeartbeatStatistics heartbeatStatistics_;
-    double scaleInProposedS_ = -1e9;
     int firstStage_ = 0;  // of a round: rotates while transactions are full
     // Jobs that would run but for room kept for others: since when, and when that was seen last; a moment without any
     // room, between two tasks, does not end it. Kept room is a courtesy, and may not cost a job more than two leases.
@@ -288,7 +281,6 @@
     // Foreign hosts on which a planned start does not happen: since when.
     std::unordered_map<std::string, double> unstartedSince_;
 
-    MachineList cloud_;
     struct PendingHost {
         ScaleOutRequest what;
         double sinceS;
@@ -299,8 +291,6 @@
     };
     std::map<std::string, Backoff> backoffs_;
     std::vector<std::pair<wire::JobSpec, std::uint32_t>> unmetDemand_;  // tasks without room: what they need, how many
-    std::map<std::string, double> idleSince_;
-    std::map<std::string, double> unownedSince_;  // hosts that nobody keeps alive
     struct ClassArrivals {
         wire::JobSpec last;
         std::deque<std::pair<double, std::uint32_t>> arrivals;  // steady time, tasks
--- a/src/controller/scale_out.cpp
+++ b/src/controller/scale_out.cpp
@@ -17,13 +17,12 @@
 
 }  // namespace
 
-void Core::set_machines(std::vector<wire::Machine> machines, Timestamp now) {
-    cloud_.machines = std::move(machines);
-    cloud_.atS = now.steady;
-    for (const auto& m : cloud_.machines) {
+void Core::set_machines(std::vector<wire::Machine> machines, Timestamp) {
+    for (const auto& m : machines) {
         auto it = pendingHosts_.find(m.name);
         if (it != pendingHosts_.end() && m.phase == "failed") pendingHosts_.erase(it);
     }
+    scaleIn_.set_machines(std::move(machines));
 }
 
 void Core::rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now) {
@@ -66,9 +65,9 @@
     std::map<std::string, double> idle;
     for (std::size_t i = 0; i < plan.records.size(); ++i) {
         const std::string& name = plan.records[i]->name;
-        if (ahead.machines()[i].holds.empty()) idle[name] = idleSince_.count(name) ? idleSince_[name] : now.steady;
+        if (ahead.machines()[i].holds.empty()) idle[name] = idleHosts_.count(name) ? idleHosts_[name] : now.steady;
     }
-    idleSince_ = std::move(idle);
+    idleHosts_ = std::move(idle);
 }
 
 std::vector<ScaleOutRequest> Core::scale_out_requests(Timestamp now) {
--- a/src/controller/task_reconciliation.cpp
+++ b/src/controller/task_reconciliation.cpp
@@ -221,11 +221,6 @@
     return true;
 }
 
-bool Core::holds_service(const HostRecord& h) const {
-    return std::any_of(h.placed.begin(), h.placed.end(),
-                       [&](const TaskRef& ref) { return ref.job->service() && !cancellations_.cancelled(*ref.job); });
-}
-
 void Core::release_finished_tasks(state::TransactionBuilder& builder, Timestamp now) {
     for (const std::string& name : schedule_.due_hosts()) {
         HostRecord* record = context_.state().host(name);
