--- a/src/state/records.cpp
+++ b/src/state/records.cpp
@@ -74,17 +74,17 @@
     return record;
 }
 
-Json encode_quota_shares(const QuotaShares& parts) {
+Json encode_quota_shares(const QuotaShares& shares) {
     Json data = Json::object();
-    for (const auto& [member, part] : parts) data[member] = Json::array({part.cores, part.gpus});
+    for (const auto& [member, share] : shares) data[member] = Json::array({share.cores, share.gpus});
     return data;
 }
 
 QuotaShares decode_quota_shares(const Json& data) {
-    QuotaShares parts;
-    for (const auto& [member, part] : data.items())
-        parts[member] = {part[0].get<std::int64_t>(), part[1].get<std::int64_t>()};
-    return parts;
+    QuotaShares shares;
+    for (const auto& [member, share] : data.items())
+        shares[member] = {share[0].get<std::int64_t>(), share[1].get<std::int64_t>()};
+    return shares;
 }
 
 Json encode_shard(const std::vector<HostEntry>& hosts) {
@@ -190,21 +190,22 @@
 }
 
 Json ChunkRecord::encode() const {
-    Json shards = Json::array(), list = Json::array();
-    for (const auto& [first, last] : done) shards.push_back({first, last});
+    Json doneRanges = Json::array(), list = Json::array();
+    for (const auto& [first, last] : done) doneRanges.push_back({first, last});
     for (const Entry& e : entries) {
         if (e.host.empty())
             list.push_back({e.index, e.attempt, ""});
         else
             list.push_back({e.index, e.attempt, e.host, e.fencingToken, e.atS, e.quotaOwner});
     }
-    return {{"d", std::move(shards)}, {"e", std::move(list)}};
+    return {{"d", std::move(doneRanges)}, {"e", std::move(list)}};
 }
 
 ChunkRecord ChunkRecord::decode(const Json& data) {
     ChunkRecord record;
-    if (const Json* shards = wire::list(data, "d"))
-        for (const Json& r : *shards) record.done.emplace_back(r[0].get<std::uint32_t>(), r[1].get<std::uint32_t>());
+    if (const Json* doneRanges = wire::list(data, "d"))
+        for (const Json& r : *doneRanges)
+            record.done.emplace_back(r[0].get<std::uint32_t>(), r[1].get<std::uint32_t>());
     const Json* list = wire::list(data, "e");
     if (!list) return record;
     for (const Json& e : *list) {
--- a/src/state/records.hpp
+++ b/src/state/records.hpp
@@ -1,6 +1,6 @@
 // The values that controllers keep in the state service, as types. Each has its encoding and decoding here, side by
-// side; no other module knows the field names. Fields that are not known are ignored when reading, so that versions
-// which add some can run beside those that lack them.
+// side; no other module knows the stored field names (docs/glossary.md). Unknown fields are ignored when reading, so
+// that versions which add some can run beside those that lack them. Times are times of day in seconds.
 #pragma once
 
 #include <cstddef>
@@ -16,8 +16,8 @@
 
 using wire::Json;
 
-// The layout of the stored keys that a process can write. Version 1 keeps all machines of a range under one key;
-// version 2 may divide a range into parts.
+// The layout of the stored keys that a process can write. Version 1 keeps all hosts of a shard under one key;
+// version 2 may split a shard.
 inline constexpr std::uint32_t kLayoutWithSplitShards = 2;
 
 // `members/NAME`: one process, attached to its lease.
@@ -50,6 +50,7 @@
     static ActiveRecord decode(const Json& data);
 };
 
+// An amount of a team's quota.
 struct Use {
     std::int64_t cores = 0, gpus = 0;  // in thousandths
     Use& operator+=(const Use& o) { return cores += o.cores, gpus += o.gpus, *this; }
@@ -62,14 +63,15 @@
     return {a.cores - b.cores, a.gpus - b.gpus};
 }
 
-// `teams/NAME`: each controller's part of the team's limit, by controller.
+// `teams/NAME`: each controller's share of the team's quota, by controller.
 using QuotaShares = std::map<std::string, Use>;
-Json encode_quota_shares(const QuotaShares& parts);
+Json encode_quota_shares(const QuotaShares& shares);
 QuotaShares decode_quota_shares(const Json& data);
 
-enum class Leaving : std::uint8_t { no, marked, gone };  // gone: the cloud has said 200 to the return
+// Whether a host is being returned to the cloud: marked for it, or confirmed by the cloud. The numbers are stored.
+enum class Leaving : std::uint8_t { no, marked, gone };
 
-// One machine of a range.
+// One host of a shard.
 struct HostEntry {
     std::string name, leader, address, machineType;
     std::uint64_t incarnation = 0;
@@ -80,11 +82,11 @@
     bool operator==(const HostEntry&) const = default;
 };
 
-// `hosts/ZONE/RANGE`: the machines of a range or of a part of one.
+// `hosts/ZONE/SHARD`: the hosts of a shard.
 Json encode_shard(const std::vector<HostEntry>& hosts);
 std::vector<HostEntry> decode_shard(const Json& data);
 
-// An upper bound of the size of an encoded range, kept up without encoding it.
+// An upper bound of the size of an encoded shard, updated host by host without encoding it.
 class ShardSize {
   public:
     void add(const HostEntry& host);
@@ -93,11 +95,11 @@
 
   private:
     std::size_t hosts_ = 0, hostBytes_ = 0;
-    std::map<std::pair<std::string, std::uint64_t>, int> leaders_;  // how many machines have each
+    std::map<std::pair<std::string, std::uint64_t>, int> leaders_;  // process: how many hosts it leads
     std::map<std::string, int> machineTypes_;
 };
 
-// `tasks/ID/CHUNK`: the tasks of a chunk that are done or have been given an attempt.
+// `steps/ID/CHUNK`: the tasks of a chunk that are done or have been given an attempt.
 struct ChunkRecord {
     struct Entry {
         std::uint32_t index = 0, attempt = 0;
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -6,89 +6,13 @@
 
 namespace wellstair::state {
 
-namespace keys {
-std::string member(const std::string& name) {
-    return "ws/members/" + name;
-}
-std::string job(const std::string& id) {
-    return "ws/jobs/" + id;
-}
-std::string active(const std::string& id) {
-    return "ws/active/" + id;
-}
-std::string chunk(const std::string& id, std::uint32_t chunk) {
-    return "ws/steps/" + id + "/" + std::to_string(chunk);
-}
-std::string team(const std::string& name) {
-    return "ws/teams/" + name;
-}
-std::string placer(const std::string& member) {
-    return "ws/placers/" + member;
-}
-std::string split_shard_key(const std::string& shard, std::uint32_t part) {
-    constexpr std::size_t kDigits = 5;  // so that later parts sort behind earlier ones
-    std::string number = std::to_string(part);
-    return unsplit_shard_key(shard) + "." + std::string(kDigits - std::min(kDigits, number.size()), '0') + number;
-}
-std::string unsplit_shard_key(const std::string& key) {
-    return key.substr(0, key.find('.', key.rfind('/')));
-}
-}  // namespace keys
-
-namespace {
-
-// The digits at the end of a machine's name, which count up as the cloud creates them; other names are hashed.
-std::uint32_t number_of(const std::string& host) {
-    auto last = host.find_last_not_of("0123456789");
-    std::size_t first = last == std::string::npos ? 0 : last + 1;
-    std::uint32_t n = 0;
-    if (first < host.size() && host.size() - first < 10) {
-        std::from_chars(host.data() + first, host.data() + host.size(), n);
-        return n;
-    }
-    for (unsigned char c : host) n = n * 31 + c;
-    return n % 65536;
-}
-
-// Consecutive machines are mostly of one type: dealt out over this many ranges, each controller gets some of each. A
-// number with many divisors comes out even for most counts of controllers.
-constexpr std::uint32_t kDeal = 6;
-
-}  // namespace
-
-std::string shard_key(const std::string& host, const std::string& zone, std::uint32_t width) {
-    std::uint32_t n = number_of(host);
-    return "ws/hosts/" + zone + "/" + std::to_string(n / (width * kDeal) * kDeal + n % kDeal);
-}
-
-Task Job::task(std::uint32_t index, std::uint32_t chunkSize) const {
-    const Chunk& c = chunks[index / chunkSize];
-    return c.tasks.empty() ? Task{} : c.tasks[index % chunkSize];
-}
-
-bool Job::lost_replica() const {
-    if (!service() || open() == 0) return false;
-    return std::any_of(chunks.begin(), chunks.end(), [](const Chunk& chunk) {
-        return std::any_of(chunk.tasks.begin(), chunk.tasks.end(),
-                           [](const Task& s) { return s.state == TaskState::open && s.attempt > 0; });
-    });
-}
-
-GangState Job::gang_state() const {
-    if (done == spec->taskCount) return GangState::done;
-    if (placed + done == spec->taskCount) return GangState::placed;
-    if (placed == 0 && done == 0) return GangState::open;
-    return GangState::broken;
-}
-
 const Job* StateCache::job(const std::string& id) const {
     auto it = jobs_.find(id);
-    return it == jobs_.end() ? nullptr : it->second.get();
+    return it != jobs_.end() && it->second->known() ? it->second.get() : nullptr;
 }
 
 Job* StateCache::job(const std::string& id) {
-    auto it = jobs_.find(id);
-    return it != jobs_.end() && it->second->known() ? it->second.get() : nullptr;
+    return const_cast<Job*>(std::as_const(*this).job(id));
 }
 
 const Final* StateCache::final(const std::string& id) const {
@@ -102,8 +26,7 @@
 }
 
 HostRecord* StateCache::host(const std::string& name) {
-    auto it = hosts_.find(name);
-    return it == hosts_.end() ? nullptr : it->second.get();
+    return const_cast<HostRecord*>(std::as_const(*this).host(name));
 }
 
 const wire::MachineType* StateCache::type(const std::string& typeName) const {
@@ -112,8 +35,9 @@
 }
 
 double StateCache::fetch_rate(const std::string& typeName) const {
-    const auto* t = type(typeName);
-    return t && t->fetchGbPerS > 0 ? t->fetchGbPerS : 0.1;  // DESIGN: 100 MB per second until known better
+    constexpr double kUnknownFetchGbPerS = 0.1;  // DESIGN: 100 MB per second until known better
+    const auto* machineType = type(typeName);
+    return machineType && machineType->fetchGbPerS > 0 ? machineType->fetchGbPerS : kUnknownFetchGbPerS;
 }
 
 Job& StateCache::job_entry(const std::string& id) {
@@ -187,12 +111,12 @@
             shard.size.add(entry);
             change_host(record, entry, shard, wallS);
         }
-    for (HostRecord* h : before) {
-        // Listed by another range by now: moved there.
-        if (h->shard != &shard) continue;
-        if (std::find(shard.hosts.begin(), shard.hosts.end(), h) != shard.hosts.end()) continue;
-        h->shard = nullptr;
-        unlisted_.push_back(h->name);
+    for (HostRecord* host : before) {
+        // Listed by another shard by now: moved there.
+        if (host->shard != &shard) continue;
+        if (std::find(shard.hosts.begin(), shard.hosts.end(), host) != shard.hosts.end()) continue;
+        host->shard = nullptr;
+        unlisted_.push_back(host->name);
     }
 }
 
@@ -224,59 +148,74 @@
 }
 
 void StateCache::apply(const std::string& path, const Json* data, std::uint64_t revision, double wallS) {
-    std::string_view p(path);
-    if (!p.starts_with(keys::kPrefix)) return;
-    p.remove_prefix(3);
-    auto slash = p.find('/');
-    std::string_view kind = p.substr(0, slash);
-    std::string rest(slash == std::string_view::npos ? "" : p.substr(slash + 1));
-    if (kind == "jobs") {
-        apply_job(rest, data, revision);
-    } else if (kind == "active") {
-        apply_active(rest, data, revision);
-    } else if (kind == "steps") {
-        apply_chunk(path, rest, data, revision, wallS);
-    } else if (kind == "teams") {
-        TeamRecord& t = teams_[rest];
-        if (revision <= t.revision) return;
-        t.revision = data ? revision : 0;
-        t.shares = data ? decode_quota_shares(*data) : QuotaShares{};
-    } else if (kind == "placers") {
-        std::uint64_t& mine = placers_[rest];
-        mine = std::max(mine, revision);
-    } else if (kind == "members") {
-        auto it = members_.find(rest);
-        if (it != members_.end() && revision <= it->second.revision) return;
-        if (data) {
-            MemberData member = MemberData::decode(*data);
-            bool same = it != members_.end() && it->second.incarnation == member.incarnation;
-            members_[rest] = {revision, member.incarnation, same ? it->second.sinceS : wallS, member.layout};
-        } else if (it != members_.end()) {
-            members_.erase(it);
-        }
-    } else if (kind == "hosts") {
-        apply_shard(path, rest, data, revision, wallS);
-    } else if (path == keys::kCloudRole) {
-        if (revision <= cloudRoleRevision_) return;
-        cloudRoleRevision_ = data ? revision : 0;
-        cloudRole_ = data ? data->value("by", "") : "";
-        cloudRoleIncarnation_ = data ? data->value("inc", std::uint64_t{0}) : 0;
-    } else if (path == keys::kLayout) {
-        if (!data || revision <= layoutRevision_) return;
-        layoutRevision_ = revision;
-        layout_ = LayoutRecord::decode(*data);
-    } else if (path == keys::kTypes) {
-        if (!data || revision <= typesRevision_) return;
-        typesRevision_ = revision;
-        types_.clear();
-        if (const Json* list = wire::list(*data, "builds"))
-            for (const Json& e : *list)
-                if (auto t = wire::parse_type(e)) types_[t->typeName] = *t;
-        for (auto& [name, h] : hosts_)
-            if (const auto* t = type(h->machineType)) h->cache.set_capacity(t->cacheGb);
+    if (path == keys::kCloudRole) return apply_cloud_role(data, revision);
+    if (path == keys::kLayout) return apply_layout(data, revision);
+    if (path == keys::kTypes) return apply_types(data, revision);
+
+    std::string_view below(path);
+    if (!below.starts_with(keys::kPrefix)) return;
+    below.remove_prefix(std::string_view(keys::kPrefix).size());
+    const auto slash = below.find('/');
+    const std::string_view kind = below.substr(0, slash);
+    const std::string name(slash == std::string_view::npos ? "" : below.substr(slash + 1));
+    if (kind == "jobs") return apply_job(name, data, revision);
+    if (kind == "active") return apply_active(name, data, revision);
+    if (kind == "steps") return apply_chunk(path, name, data, revision, wallS);
+    if (kind == "teams") return apply_team(name, data, revision);
+    if (kind == "placers") return apply_placer(name, revision);
+    if (kind == "members") return apply_member(name, data, revision, wallS);
+    if (kind == "hosts") return apply_shard(path, name, data, revision, wallS);
+}
+
+void StateCache::apply_team(const std::string& name, const Json* data, std::uint64_t revision) {
+    TeamRecord& team = teams_[name];
+    if (revision <= team.revision) return;
+    team.revision = data ? revision : 0;
+    team.shares = data ? decode_quota_shares(*data) : QuotaShares{};
+}
+
+void StateCache::apply_placer(const std::string& member, std::uint64_t revision) {
+    std::uint64_t& known = placers_[member];
+    known = std::max(known, revision);
+}
+
+void StateCache::apply_member(const std::string& name, const Json* data, std::uint64_t revision, double wallS) {
+    auto it = members_.find(name);
+    if (it != members_.end() && revision <= it->second.revision) return;
+    if (data) {
+        const MemberData member = MemberData::decode(*data);
+        const bool sameProcess = it != members_.end() && it->second.incarnation == member.incarnation;
+        const double sinceS = sameProcess ? it->second.sinceS : wallS;
+        members_[name] = {revision, member.incarnation, sinceS, member.layout};
+    } else if (it != members_.end()) {
+        members_.erase(it);
     }
 }
 
+void StateCache::apply_cloud_role(const Json* data, std::uint64_t revision) {
+    if (revision <= cloudRoleRevision_) return;
+    cloudRoleRevision_ = data ? revision : 0;
+    cloudRole_ = data ? data->value("by", "") : "";
+    cloudRoleIncarnation_ = data ? data->value("inc", std::uint64_t{0}) : 0;
+}
+
+void StateCache::apply_layout(const Json* data, std::uint64_t revision) {
+    if (!data || revision <= layoutRevision_) return;
+    layoutRevision_ = revision;
+    layout_ = LayoutRecord::decode(*data);
+}
+
+void StateCache::apply_types(const Json* data, std::uint64_t revision) {
+    if (!data || revision <= typesRevision_) return;
+    typesRevision_ = revision;
+    types_.clear();
+    if (const Json* list = wire::list(*data, "builds"))
+        for (const Json& entry : *list)
+            if (auto machineType = wire::parse_type(entry)) types_[machineType->typeName] = *machineType;
+    for (auto& [name, host] : hosts_)
+        if (const auto* machineType = type(host->machineType)) host->cache.set_capacity(machineType->cacheGb);
+}
+
 void StateCache::apply_job(const std::string& id, const Json* data, std::uint64_t revision) {
     if (!data) return;  // jobs are kept for ever
     if (auto f = finals_.find(id); f != finals_.end() && revision <= f->second.revision) return;
@@ -289,18 +228,17 @@
     Job& job = job_entry(id);
     if (revision <= job.jobRevision) return;
     job.jobRevision = revision;
-    if (!job.spec) {
-        auto it = data->find("s");
-        if (it == data->end()) return;
-        auto parsed = wire::parse_job(*it);
-        if (auto* spec = std::get_if<wire::JobSpec>(&parsed)) {
-            job.spec = std::move(*spec);
-            job.chunks.resize((job.spec->taskCount + chunkSize_ - 1) / chunkSize_);
-            job.order = revision;
-            job.atS = data->value("at", std::int64_t{0});
-            if (job.known()) enqueue(job);
-        }
-    }
+    if (job.spec) return;
+    auto description = data->find("s");
+    if (description == data->end()) return;
+    auto parsed = wire::parse_job(*description);
+    auto* spec = std::get_if<wire::JobSpec>(&parsed);
+    if (!spec) return;
+    job.spec = std::move(*spec);
+    job.chunks.resize((job.spec->taskCount + chunkSize_ - 1) / chunkSize_);
+    job.order = revision;
+    job.atS = data->value("at", std::int64_t{0});
+    if (job.known()) enqueue(job);
 }
 
 void StateCache::apply_active(const std::string& id, const Json* data, std::uint64_t revision) {
@@ -335,123 +273,19 @@
     auto it = jobs_.find(id);
     if (it == jobs_.end() || !finals_.count(id)) return;
     Job& job = *it->second;
-    for (std::uint32_t c = 0; c < job.chunks.size(); ++c) {
-        Chunk& chunk = job.chunks[c];
-        if (chunk.revision) orphanedChunks_[keys::chunk(id, c)] = chunk.revision;
-        // Nothing may be placed once a job is over; the index is cleaned all the same, a dangling entry would crash.
+    for (std::uint32_t number = 0; number < job.chunks.size(); ++number) {
+        Chunk& chunk = job.chunks[number];
+        if (chunk.revision) orphanedChunks_[keys::chunk(id, number)] = chunk.revision;
+        // Nothing may be placed once a job is over; the index is cleaned all the same: a dangling entry would crash.
         for (std::uint32_t i = 0; i < chunk.tasks.size(); ++i) {
-            const Task& s = chunk.tasks[i];
-            if (!s.host) continue;
-            std::erase(s.host->placed, TaskRef{&job, c * chunkSize_ + i});
-            account_usage(job, s, -1);
+            const Task& task = chunk.tasks[i];
+            if (!task.host) continue;
+            std::erase(task.host->placed, TaskRef{&job, number * chunkSize_ + i});
+            account_usage(job, task, -1);
         }
     }
     std::erase_if(queue_, [&](auto& e) { return e.second == &job; });
     jobs_.erase(it);
 }
 
-void StateCache::apply_chunk(const std::string& path, const std::string& rest, const Json* data, std::uint64_t revision,
-                             double wallS) {
-    auto slash = rest.rfind('/');
-    if (slash == std::string::npos) return;
-    std::string id = rest.substr(0, slash);
-    std::uint32_t c = 0;
-    std::from_chars(rest.data() + slash + 1, rest.data() + rest.size(), c);
-    auto it = jobs_.find(id);
-    if (it == jobs_.end() || finals_.count(id)) {
-        if (data)
-            orphanedChunks_[path] = std::max(orphanedChunks_[path], revision);
-        else
-            orphanedChunks_.erase(path);
-        return;
-    }
-    Job& job = *it->second;
-    if (!job.spec || c >= job.chunks.size()) return;
-    Chunk& chunk = job.chunks[c];
-    if (revision <= chunk.revision) return;
-    chunk.revision = data ? revision : 0;
-    std::uint32_t n = std::min(chunkSize_, job.spec->taskCount - c * chunkSize_);
-    std::vector<Task> tasks(n);
-    const ChunkRecord record = data ? ChunkRecord::decode(*data) : ChunkRecord{};
-    for (const auto& [first, last] : record.done)
-        for (std::uint32_t i = first; i <= last && i < n; ++i) tasks[i].state.become(TaskState::done);
-    for (const ChunkRecord::Entry& e : record.entries) {
-        if (e.index >= n) continue;
-        Task& s = tasks[e.index];
-        s.attempt = e.attempt;
-        if (e.host.empty()) continue;
-        s.state.become(TaskState::placed);
-        s.host = &host_entry(e.host);
-        s.fencingToken = e.fencingToken;
-        s.atS = e.atS;
-        s.quotaOwner = e.quotaOwner;
-    }
-    set_tasks(job, c, std::move(tasks), wallS);
-}
-
-void StateCache::set_tasks(Job& job, std::uint32_t c, std::vector<Task> next, double wallS) {
-    Chunk& chunk = job.chunks[c];
-    if (chunk.tasks.empty()) chunk.tasks.resize(next.size());
-    for (std::uint32_t i = 0; i < next.size(); ++i)
-        change_task(job, c * chunkSize_ + i, chunk.tasks[i], next[i], wallS);
-}
-
-void StateCache::account_usage(const Job& job, const Task& task, int by) {
-    TeamRecord& team = teams_[job.spec->team];
-    Use use{by * milli(job.spec->cores), by * milli(job.spec->gpus)};
-    team.used[task.quotaOwner] += use;
-    team.total += use;
-}
-
-void StateCache::change_task(Job& job, std::uint32_t index, Task& task, const Task& next, double wallS) {
-    if (task.state == next.state && task.attempt == next.attempt && task.host == next.host &&
-        task.fencingToken == next.fencingToken && task.quotaOwner == next.quotaOwner)
-        return;
-    Task before = task;
-    Chunk& chunk = job.chunks[index / chunkSize_];
-    auto count = [&](const Task& s, int by) {
-        if (s.state == TaskState::done) chunk.done += by, job.done += by;
-        if (s.state != TaskState::placed) return;
-        chunk.placed += by, job.placed += by;
-        account_usage(job, s, by);
-    };
-    count(task, -1);
-    if (before.host && before.host != next.host) {
-        std::erase(before.host->placed, TaskRef{&job, index});
-        before.host->cache.release(job.spec->image, wallS);
-    }
-    if (next.host && before.host != next.host) {
-        next.host->placed.push_back({&job, index});
-        next.host->cache.fetch(job.spec->image, job.spec->imageGb, wallS,
-                               next.atS + job.spec->imageGb / fetch_rate(next.host->machineType));
-    }
-    if (task.state != next.state) task.state.become(next.state);
-    task.attempt = next.attempt;
-    task.host = next.host;
-    task.fencingToken = next.fencingToken;
-    task.atS = next.atS;
-    task.quotaOwner = next.quotaOwner;
-    count(task, 1);
-    if (on_task_change) on_task_change(job, index, before, task);
-    if (before.host && before.host != next.host) drop_host_if_unused(before.host->name);
-}
-
-ChunkRecord StateCache::chunk_record(const std::vector<Task>& tasks) {
-    ChunkRecord record;
-    for (std::uint32_t i = 0; i < tasks.size(); ++i) {
-        const Task& s = tasks[i];
-        if (s.state == TaskState::done) {
-            std::uint32_t last = i;
-            while (last + 1 < tasks.size() && tasks[last + 1].state == TaskState::done) ++last;
-            record.done.emplace_back(i, last);
-            i = last;
-        } else if (s.state == TaskState::placed) {
-            record.entries.push_back({i, s.attempt, s.host->name, s.fencingToken, s.atS, s.quotaOwner});
-        } else if (s.attempt) {
-            record.entries.push_back({i, s.attempt, "", 0, 0, ""});
-        }
-    }
-    return record;
-}
-
 }  // namespace wellstair::state
--- a/src/state/states.hpp
+++ b/src/state/states.hpp
@@ -5,7 +5,7 @@
 
 namespace wellstair::state {
 
-// A job as the state service has it.
+// A job as the state service has it. `cancelled` until its last task is gone, then `aborted`.
 enum class JobState { active, cancelled, done, aborted };
 struct JobTraits {
     static const char* name(JobState s) {
@@ -37,14 +37,14 @@
     }
 };
 
-// A machine as its leader sees it.
+// A host as its leader sees it.
 enum class HostState {
-    acquiring,  // reported here; the registration is not durable yet
+    acquiring,  // sends its heartbeats here; the registration is not durable yet
     led,        // registered here; older commands may still reach it
-    confirmed,  // has confirmed our fencing token: nobody else's command can reach it
+    confirmed,  // has confirmed our fencing token: commands under older ones are refused
     silent,     // no heartbeat for a while; its lease may still run
-    expired,    // the lease has run out by our own count: its tasks are gone
-    released,   // somebody else keeps it, or we have let go
+    expired,    // its lease has expired by our own count: its tasks are gone
+    released,   // led by another controller, or by none
 };
 struct HostTraits {
     static const char* name(HostState s) {
@@ -70,15 +70,15 @@
     }
 };
 
-// A gang's state follows from those of its tasks (Core::gang_state): it is never set.
+// A gang's state follows from those of its tasks (Job::gang_state): it is never set.
 enum class GangState { open, placed, broken, done };
 
-// This process's own standing.
+// Whether this process may act as a controller (leadership/availability.hpp).
 enum class Availability {
-    joining,       // no lease yet
-    serving,       // our member key stands and the store answers
-    disconnected,  // the store does not answer anybody: an outage
-    isolated,      // the store answers others, not us: let go
+    joining,       // has no member lease yet
+    serving,       // its member record exists and the state service answers
+    disconnected,  // the state service answers nobody: an outage
+    isolated,      // the state service answers others, or was read too long ago: it leads no host any more
 };
 struct AvailabilityTraits {
     static const char* name(Availability s) {
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -1,21 +1,18 @@
 #include "state/transaction_builder.hpp"
 
 #include <algorithm>
+#include <utility>
+
+#include "state/quota_shares.hpp"
 
 namespace wellstair::state {
 
-using state::Job;
-using state::JobState;
-using state::Task;
-using state::TaskState;
 using wire::Json;
 
-namespace keys = state::keys;
-
 namespace {
 
-constexpr std::size_t kTaskBytes = 80;  // one entry of a chunk, as JSON
-constexpr std::int64_t kNoLimit = std::int64_t{1} << 60;
+constexpr std::size_t kTaskBytes = 80;     // one entry of a chunk, as JSON
+constexpr std::size_t kActiveBytes = 100;  // the active record of a job, with its key
 
 Json submission(const wire::JobSpec& spec, std::int64_t atS) {
     return {{"s", to_json(spec)}, {"at", atS}};
@@ -23,7 +20,7 @@
 
 }  // namespace
 
-TransactionBuilder::TransactionBuilder(state::StateCache& state, const config::Settings& settings, WriteRules rules,
+TransactionBuilder::TransactionBuilder(StateCache& state, const config::Settings& settings, WriteRules rules,
                                        const std::string& member, std::uint64_t memberRevision)
     : state_(state), settings_(settings), rules_(std::move(rules)), member_(member) {
     require(keys::member(member), memberRevision);
@@ -54,7 +51,7 @@
     sets_.emplace_back(path, std::move(data));
 }
 
-std::vector<Task>& TransactionBuilder::edit(Job& job, std::uint32_t c) {
+std::vector<Task>& TransactionBuilder::edit_chunk(Job& job, std::uint32_t c) {
     auto [it, fresh] = chunks_.try_emplace({&job, c});
     if (fresh) {
         const auto& chunk = job.chunks[c];
@@ -68,71 +65,47 @@
     return it->second;
 }
 
-// Each controller has a part of each team's limit, and its placements are serial (each writes placers/ME). While its
-// own part suffices, nobody else's placements can make this one wrong, and none of theirs can fail by it. To get more,
-// the parts are dealt anew: that rests on the placers' revisions of all who give something up.
-bool TransactionBuilder::reserve_quota(const std::string& teamName, state::Use more) {
+// Each controller has a share of each team's quota, and its placements are serial (each writes placers/ME). While its
+// own share suffices, no other controller's placements can make this one wrong or fail by it. To get more, the shares
+// are assigned anew, on condition that nobody who loses something has placed anything meanwhile.
+bool TransactionBuilder::reserve_quota(const std::string& teamName, Use more) {
     const config::Team* team = settings_.team(teamName);
     if (!team) return true;
-    static const state::TeamRecord kNone;
+    static const TeamRecord kNone;
     auto it = state_.teams().find(teamName);
-    const state::TeamRecord& record = it == state_.teams().end() ? kNone : it->second;
-    auto [entry, fresh] = quotaReservations_.try_emplace(teamName);
-    QuotaReservation& c = entry->second;
-    if (fresh) c.shares = record.shares;
-    auto used_by = [&](const std::string& name) {
-        auto u = record.used.find(name);
-        return u == record.used.end() ? state::Use{} : u->second;
-    };
-    state::Use mine = used_by(member_) + c.more + more;
-    state::Use limit{team->cpusMax > 0 ? state::milli(team->cpusMax) : kNoLimit,
-                     team->gpusMax > 0 ? state::milli(team->gpusMax) : kNoLimit};
-    state::Use all = record.total + c.more + more;
-    if (all.cores > limit.cores || all.gpus > limit.gpus) {
-        if (fresh) quotaReservations_.erase(entry);
+    const TeamRecord& record = it == state_.teams().end() ? kNone : it->second;
+    auto [entry, isNew] = quotaReservations_.try_emplace(teamName);
+    QuotaReservation& reservation = entry->second;
+    if (isNew) reservation.shares = record.shares;
+    const Use limit = quota_limit(*team);
+    const Use total = record.total + reservation.more + more;
+    if (exceeds(total, limit)) {
+        if (isNew) quotaReservations_.erase(entry);
         return false;
     }
-    state::Use& part = c.shares[member_];
-    if (mine.cores > part.cores || mine.gpus > part.gpus) {
-        state::Use assigned;
-        for (const auto& [name, p] : c.shares) assigned += p;
-        auto n = static_cast<std::int64_t>(settings_.size());
-        // What nobody has yet: what is needed, and a share of the rest.
-        auto grow = [&](std::int64_t& p, std::int64_t need, std::int64_t given, std::int64_t most) {
-            std::int64_t free = most - given, lack = std::max<std::int64_t>(0, need - p);
-            if (lack > free) return false;
-            p += lack + (free - lack) / n;
-            return true;
-        };
-        state::Use grown = part;
-        if (grow(grown.cores, mine.cores, assigned.cores, limit.cores) &&
-            grow(grown.gpus, mine.gpus, assigned.gpus, limit.gpus)) {
-            part = grown;
-        } else {
-            // Dealt anew: everybody keeps what is in use and gets an equal share of what is not.
-            state::Use share{(limit.cores - all.cores) / n, (limit.gpus - all.gpus) / n};
-            std::map<std::string, state::Use> next;
-            for (const auto& [name, u] : record.used)
-                if (u.cores > 0 || u.gpus > 0) next[name] = u;
-            for (const auto& m : settings_.members) next[m.name] += share;
-            next[member_] = mine + share;
-            for (const auto& [name, p] : c.shares) {
-                state::Use now = next.count(name) ? next[name] : state::Use{};
-                if (name != member_ && (now.cores < p.cores || now.gpus < p.gpus))
-                    require(keys::placer(name), state_.placer_revision(name));
-            }
-            c.shares = std::move(next);
+    const Use needed = used_by(record, member_) + reservation.more + more;
+    if (exceeds(needed, reservation.shares[member_])) {
+        const QuotaNeed need{member_, needed, total, limit};
+        if (!grow_share(reservation.shares, need, settings_)) {
+            QuotaShares next = redistribute_shares(record, need, settings_);
+            require_no_placements_by_losers(reservation.shares, next);
+            reservation.shares = std::move(next);
         }
-        c.moved = true;
+        reservation.moved = true;
     }
-    c.more += more;
+    reservation.more += more;
     require(keys::team(teamName), record.revision);
     require(keys::placer(member_), state_.placer_revision(member_));
     return true;
 }
 
-void TransactionBuilder::require_unchanged(const state::HostShard& shard) {
-    require(shard.key, shard.revision);
+void TransactionBuilder::require_no_placements_by_losers(const QuotaShares& before, const QuotaShares& after) {
+    for (const auto& [name, share] : before) {
+        auto it = after.find(name);
+        const Use next = it == after.end() ? Use{} : it->second;
+        const bool loses = next.cores < share.cores || next.gpus < share.gpus;
+        if (name != member_ && loses) require(keys::placer(name), state_.placer_revision(name));
+    }
 }
 
 std::size_t TransactionBuilder::submission_size(const wire::JobSpec& spec) {
@@ -148,83 +121,96 @@
     bytes_ += bytes;
     require(keys::job(spec.id), 0);
     set(keys::job(spec.id), std::move(body));
-    set(keys::active(spec.id), state::ActiveRecord{owner, std::nullopt, false, 0}.encode());
+    set(keys::active(spec.id), ActiveRecord{owner, std::nullopt, false, 0}.encode());
     summary_.push_back("submit " + spec.id + " " + spec.jobClass + " of " + spec.team);
     return true;
 }
 
+void TransactionBuilder::set_active(const Job& job, const ActiveRecord& record) {
+    require(keys::active(job.id), job.activeRevision);
+    set(keys::active(job.id), record.encode());
+}
+
 bool TransactionBuilder::cancel(Job& job, std::int64_t atS) {
     if (has(keys::active(job.id))) return true;
-    if (!room(1, 1, 100)) return false;
-    bytes_ += 100;
-    require(keys::active(job.id), job.activeRevision);
-    set(keys::active(job.id), state::ActiveRecord{job.owner, std::nullopt, true, atS}.encode());
+    if (!room(1, 1, kActiveBytes)) return false;
+    bytes_ += kActiveBytes;
+    set_active(job, {job.owner, std::nullopt, true, atS});
     summary_.push_back("cancel " + job.id);
     return true;
 }
 
 bool TransactionBuilder::stop_attempt(Job& job, std::uint32_t attempt) {
     if (has(keys::active(job.id))) return true;
-    if (!room(1, 1, 100)) return false;
-    bytes_ += 100;
-    require(keys::active(job.id), job.activeRevision);
-    set(keys::active(job.id), state::ActiveRecord{job.owner, attempt, false, 0}.encode());
+    if (!room(1, 1, kActiveBytes)) return false;
+    bytes_ += kActiveBytes;
+    set_active(job, {job.owner, attempt, false, 0});
     summary_.push_back("stop " + job.id);
     return true;
 }
 
-bool TransactionBuilder::place(Job& job, const std::vector<std::pair<std::uint32_t, state::HostRecord*>>& tasks,
-                               std::uint32_t attempt, std::int64_t atS) {
-    std::set<std::uint32_t> chunks;
-    std::set<const state::HostShard*> shards;
+bool TransactionBuilder::bound_across_chunks(const Job& job) {
+    return (job.spec->coLocated || job.spec->spread) && job.chunks.size() > 1;
+}
+
+TransactionBuilder::PlacementCost TransactionBuilder::placement_cost(Job& job, const Placements& tasks) const {
+    PlacementCost cost;
+    std::set<const HostShard*> shards;
     for (const auto& [index, host] : tasks) {
-        chunks.insert(state_.chunk_of(index));
+        cost.chunks.insert(state_.chunk_of(index));
         shards.insert(host->shard);
     }
-    int fresh = 0;
-    for (std::uint32_t c : chunks) fresh += !chunks_.count({&job, c});
-    if (quotaReservations_.empty()) ++fresh;
-    // The team's parts may have to be dealt anew, also by a later job of a team that has had room in its part so far:
-    // counted for the team's first job only, the transactions of many teams came out too large, and none was applied.
-    if (auto c = quotaReservations_.find(job.spec->team); c == quotaReservations_.end() || !c->second.moved) ++fresh;
-    // Tasks bound to one another by zone are checked against the whole job: its chunks must not change apart.
-    bool bound = (job.spec->coLocated || job.spec->spread) && job.chunks.size() > 1;
-    if (bound) ++fresh;
-    std::size_t bytes = kTaskBytes * tasks.size() + chunks.size() * 200;
-    int conditions = static_cast<int>(chunks.size() + 3) + settings_.size();
-    bool onShards = room(fresh, conditions + static_cast<int>(shards.size()), bytes);
-    // A wide gang on as many ranges has more keys to compare than a transaction may under lower limits. The ranges are
-    // compared so that fewer placements turn out stale; what makes a stale one harmless is the fencing token that it
-    // names: a leader starts nothing under another one, and an absent task of another fencing token, or on a machine
-    // whose record was removed, is proven to be gone. Earlier versions rely on the comparison, so it stays until none
-    // can run.
-    bool wideUnderLowLimits = rules_.splitShards && tasks.size() > 1;
-    if (!onShards && !(wideUnderLowLimits && room(fresh, conditions, bytes))) return false;
-    for (std::uint32_t c : chunks) {
+    for (std::uint32_t chunk : cost.chunks) cost.writes += !chunks_.count({&job, chunk});
+    if (quotaReservations_.empty()) ++cost.writes;
+    // The team's shares may have to be assigned anew, also by a later job of a team that has had room in its share so
+    // far: counted for the team's first job only, transactions of many teams came out too large and none was applied.
+    auto reservation = quotaReservations_.find(job.spec->team);
+    if (reservation == quotaReservations_.end() || !reservation->second.moved) ++cost.writes;
+    if (bound_across_chunks(job)) ++cost.writes;
+    cost.bytes = kTaskBytes * tasks.size() + cost.chunks.size() * 200;
+    cost.conditions = static_cast<int>(cost.chunks.size() + 3) + settings_.size();
+    cost.shards = static_cast<int>(shards.size());
+    return cost;
+}
+
+bool TransactionBuilder::chunks_have_room(Job& job, const Placements& tasks, const std::set<std::uint32_t>& chunks,
+                                          std::uint32_t attempt, std::int64_t atS) {
+    for (std::uint32_t chunk : chunks) {
         std::size_t more = 0;
-        for (const auto& [index, host] : tasks)
-            if (state_.chunk_of(index) == c)
-                more += state::ChunkRecord::Entry{index % state_.chunk_size(), attempt, host->name,
-                                                  host->fencingToken,          atS,     member_}
-                            .size_bound();
-        if (!chunk_has_room(job, c, more)) return true;  // waits until others of its chunk have ended
-    }
-    auto n = static_cast<std::int64_t>(tasks.size());
-    if (!reserve_quota(job.spec->team, {n * state::milli(job.spec->cores), n * state::milli(job.spec->gpus)}))
-        return true;
-    if (bound && !has(keys::active(job.id))) {
-        require(keys::active(job.id), job.activeRevision);
-        set(keys::active(job.id), state::ActiveRecord{job.owner, job.stopAttempt, false, 0}.encode());
+        for (const auto& [index, host] : tasks) {
+            if (state_.chunk_of(index) != chunk) continue;
+            const ChunkRecord::Entry entry{index % state_.chunk_size(), attempt, host->name,
+                                           host->fencingToken,          atS,     member_};
+            more += entry.size_bound();
+        }
+        if (!chunk_has_room(job, chunk, more)) return false;
     }
+    return true;
+}
+
+// A wide gang on as many shards has more keys to compare than a transaction may under lower limits. The shards are
+// compared so that fewer placements turn out stale; what makes a stale one harmless is the fencing token that it names:
+// a leader starts nothing under another one, and an absent task of another token, or on a host whose record was
+// removed, is proven to be gone. Earlier versions rely on the comparison, so it stays until none can run.
+bool TransactionBuilder::place(Job& job, const Placements& tasks, std::uint32_t attempt, std::int64_t atS) {
+    const PlacementCost cost = placement_cost(job, tasks);
+    const bool compareShards = room(cost.writes, cost.conditions + cost.shards, cost.bytes);
+    const bool wideUnderLowLimits = rules_.splitShards && tasks.size() > 1;
+    if (!compareShards && !(wideUnderLowLimits && room(cost.writes, cost.conditions, cost.bytes))) return false;
+    if (!chunks_have_room(job, tasks, cost.chunks, attempt, atS)) return true;  // waits until others there have ended
+    const auto count = static_cast<std::int64_t>(tasks.size());
+    const Use more{count * milli(job.spec->cores), count * milli(job.spec->gpus)};
+    if (!reserve_quota(job.spec->team, more)) return true;  // waits until others of the team have ended
+    if (bound_across_chunks(job) && !has(keys::active(job.id))) set_active(job, {job.owner, job.stopAttempt, false, 0});
     for (const auto& [index, host] : tasks) {
-        Task& s = edit(job, state_.chunk_of(index))[index % state_.chunk_size()];
-        s.state.become(TaskState::placed);
-        s.attempt = attempt;
-        s.host = host;
-        s.fencingToken = host->fencingToken;
-        s.atS = atS;
-        s.quotaOwner = member_;
-        if (onShards) require_unchanged(*host->shard);
+        Task& task = edit_chunk(job, state_.chunk_of(index))[index % state_.chunk_size()];
+        task.state.become(TaskState::placed);
+        task.attempt = attempt;
+        task.host = host;
+        task.fencingToken = host->fencingToken;
+        task.atS = atS;
+        task.quotaOwner = member_;
+        if (compareShards) require_unchanged(*host->shard);
     }
     bytes_ += kTaskBytes * tasks.size();
     summary_.push_back("place " + job.id);
@@ -235,14 +221,14 @@
     if (rules_.rejectedKeys.count(keys::chunk(job.id, c))) return false;
     auto it = chunks_.find({&job, c});
     const std::vector<Task>& tasks = it == chunks_.end() ? job.chunks[c].tasks : it->second;
-    return state::StateCache::chunk_record(tasks).size_bound() + more <= rules_.limits.value_bytes();
+    return StateCache::chunk_record(tasks).size_bound() + more <= rules_.limits.value_bytes();
 }
 
 bool TransactionBuilder::release_task(Job& job, std::uint32_t index, TaskState to) {
     std::uint32_t c = state_.chunk_of(index);
     if (rules_.rejectedKeys.count(keys::chunk(job.id, c))) return true;
     if (!room(!chunks_.count({&job, c}), 4, kTaskBytes * (job.chunks[c].placed + 1) + 100)) return false;
-    Task& s = edit(job, c)[index % state_.chunk_size()];
+    Task& s = edit_chunk(job, c)[index % state_.chunk_size()];
     if (s.host->shard) require_unchanged(*s.host->shard);  // else its record was removed, for good
     summary_.push_back("release " + wire::task_id(job.id, index) + " from " + s.host->name);
     s.state.become(to);
@@ -258,7 +244,8 @@
     for (const auto& c : job.chunks) chunks += c.revision != 0;
     int conditions = 1 + static_cast<int>(job.chunks.size());
     bool all = room(2 + chunks, conditions, 400);
-    // A job of many chunks leaves them behind for the sweep: what says that it is over fits one transaction always.
+    // A job of many chunks leaves them behind for garbage collection: what says that it is over always fits one
+    // transaction.
     bool never = 2 + chunks > rules_.limits.transactionOperations || conditions >= rules_.limits.conditions();
     if (!all && !((never || writes() == 0) && room(2, 1, 400))) return false;
     require(keys::active(job.id), job.activeRevision);
@@ -281,7 +268,7 @@
     return true;
 }
 
-bool TransactionBuilder::switch_layout(const state::LayoutRecord& layout) {
+bool TransactionBuilder::switch_layout(const LayoutRecord& layout) {
     if (!room(1, 1 + static_cast<int>(state_.members().size()), 200)) return false;
     for (const auto& [name, member] : state_.members()) require(keys::member(name), member.revision);
     require(keys::kLayout, state_.layout_revision());
@@ -310,17 +297,17 @@
     };
     for (const auto& [path, data] : sets_) add(path, data);
     for (const auto& [key, tasks] : chunks_)
-        add(keys::chunk(key.first->id, key.second), state::StateCache::chunk_record(tasks).encode());
+        add(keys::chunk(key.first->id, key.second), StateCache::chunk_record(tasks).encode());
     for (const auto& [key, edit] : shards_) {
-        std::vector<state::HostEntry> hosts;
+        std::vector<HostEntry> hosts;
         for (const auto& [name, h] : edit.hosts) hosts.push_back(h);
         if (hosts.empty())
             apply.push_back({{"remove", key}});
         else
-            add(key, state::encode_shard(hosts));
+            add(key, encode_shard(hosts));
     }
     for (const auto& [team, reservation] : quotaReservations_)
-        if (reservation.moved) add(keys::team(team), state::encode_quota_shares(reservation.shares));
+        if (reservation.moved) add(keys::team(team), encode_quota_shares(reservation.shares));
     if (!quotaReservations_.empty()) add(keys::placer(member_), Json::object());
     for (const std::string& path : removes_) apply.push_back({{"remove", path}});
     Transaction transaction;
