--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -5,18 +5,26 @@
 namespace wellstair::wire {
 namespace {
 
-constexpr int kMaxDepth = 32;
+constexpr int kMaxDepth = 32;  // of maps and lists in one another
 
+// Builds the document and gives up on binary data and on too deep nesting. The base's functions are not virtual: the
+// parser is a template over this class.
 class BoundedDom : public nlohmann::detail::json_sax_dom_parser<Json> {
   public:
     using Base = nlohmann::detail::json_sax_dom_parser<Json>;
     explicit BoundedDom(Json& root) : Base(root, false) {}
 
     bool binary(Json::binary_t&) { return false; }
-    bool start_object(std::size_t n) { return ++depth_ <= kMaxDepth && Base::start_object(n); }
-    bool end_object() { return --depth_, Base::end_object(); }
-    bool start_array(std::size_t n) { return ++depth_ <= kMaxDepth && Base::start_array(n); }
-    bool end_array() { return --depth_, Base::end_array(); }
+    bool start_object(std::size_t size) { return ++depth_ <= kMaxDepth && Base::start_object(size); }
+    bool end_object() {
+        --depth_;
+        return Base::end_object();
+    }
+    bool start_array(std::size_t size) { return ++depth_ <= kMaxDepth && Base::start_array(size); }
+    bool end_array() {
+        --depth_;
+        return Base::end_array();
+    }
 
   private:
     int depth_ = 0;
@@ -31,51 +39,51 @@
 }  // namespace
 
 std::string encode(const Json& value) {
-    std::string out;
-    Json::to_msgpack(value, nlohmann::detail::output_adapter<char>(out));
-    return out;
+    std::string bytes;
+    Json::to_msgpack(value, nlohmann::detail::output_adapter<char>(bytes));
+    return bytes;
 }
 
 std::optional<Json> decode(std::string_view bytes) {
     if (bytes.empty()) return std::nullopt;
     Json root;
-    BoundedDom sax(root);
-    if (!Json::sax_parse(bytes.begin(), bytes.end(), &sax, nlohmann::detail::input_format_t::msgpack, true))
+    BoundedDom builder(root);
+    if (!Json::sax_parse(bytes.begin(), bytes.end(), &builder, nlohmann::detail::input_format_t::msgpack, true))
         return std::nullopt;
     return root;
 }
 
 std::optional<std::string> text(const Json& map, const char* key) {
-    const Json* v = find(map, key);
-    if (!v || !v->is_string()) return std::nullopt;
-    return v->get<std::string>();
+    const Json* value = find(map, key);
+    if (!value || !value->is_string()) return std::nullopt;
+    return value->get<std::string>();
 }
 
 std::optional<double> amount(const Json& map, const char* key) {
-    const Json* v = find(map, key);
-    if (!v || !v->is_number()) return std::nullopt;
-    double d = v->get<double>();
-    if (!std::isfinite(d)) return std::nullopt;
-    return d;
+    const Json* value = find(map, key);
+    if (!value || !value->is_number()) return std::nullopt;
+    double number = value->get<double>();
+    if (!std::isfinite(number)) return std::nullopt;
+    return number;
 }
 
 std::optional<std::uint64_t> count(const Json& map, const char* key) {
-    const Json* v = find(map, key);
-    if (!v) return std::nullopt;
-    if (v->is_number_unsigned()) return v->get<std::uint64_t>();
-    if (v->is_number_integer() && v->get<std::int64_t>() >= 0) return v->get<std::uint64_t>();
+    const Json* value = find(map, key);
+    if (!value) return std::nullopt;
+    if (value->is_number_unsigned()) return value->get<std::uint64_t>();
+    if (value->is_number_integer() && value->get<std::int64_t>() >= 0) return value->get<std::uint64_t>();
     return std::nullopt;
 }
 
 std::optional<bool> flag(const Json& map, const char* key) {
-    const Json* v = find(map, key);
-    if (!v || !v->is_boolean()) return std::nullopt;
-    return v->get<bool>();
+    const Json* value = find(map, key);
+    if (!value || !value->is_boolean()) return std::nullopt;
+    return value->get<bool>();
 }
 
 const Json* list(const Json& map, const char* key) {
-    const Json* v = find(map, key);
-    return v && v->is_array() ? v : nullptr;
+    const Json* value = find(map, key);
+    return value && value->is_array() ? value : nullptr;
 }
 
 }  // namespace wellstair::wire
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,4 +1,7 @@
-// MessagePack bodies: maps keyed by text, lists, text, numbers, booleans and null. Binary data is not part of the wire.
+// Encoding of message bodies: MessagePack maps keyed by text, with lists, text, numbers, booleans and null. Binary data
+// is not part of the protocol (PROTOCOL, encoding).
+//
+// Pure functions, safe from any thread; what cannot be read is returned as nothing, never thrown.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-inline constexpr std::size_t kBodyLimit = std::size_t{64} * 1024;  // PROTOCOL: bodies of requests, measured as JSON
+inline constexpr std::size_t kBodyLimit = std::size_t{64} * 1024;  // bytes of a request's body, measured as JSON
 
 std::string encode(const Json& value);
 
@@ -18,11 +21,14 @@
 // bound guards the stack: 64 KiB of nested one-element lists would otherwise recurse 65,536 times.
 std::optional<Json> decode(std::string_view bytes);
 
-// Reading helpers: nothing when the field is missing, null or of another type.
+// Fields of a map: nothing when the field is missing, null or of another type.
 std::optional<std::string> text(const Json& map, const char* key);
+// Any finite number.
 std::optional<double> amount(const Json& map, const char* key);
+// An integer of at least 0.
 std::optional<std::uint64_t> count(const Json& map, const char* key);
 std::optional<bool> flag(const Json& map, const char* key);
+// Points into the map; null for nothing.
 const Json* list(const Json& map, const char* key);
 
 }  // namespace wellstair::wire
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -7,24 +7,184 @@
 namespace wellstair::wire {
 namespace {
 
+// The names on the wire, in the order of the enum constants.
+constexpr std::array kJobKinds = {"batch", "gang", "service"};
 constexpr std::array kPriorityClasses = {"production", "urgent", "standard", "best_effort"};
-constexpr std::array kPhases = {"pulling", "waiting", "running", "flushing", "ended"};
+constexpr std::array kTaskPhases = {"pulling", "waiting", "running", "flushing", "ended"};
 constexpr std::array kCauses = {"", "done", "halted", "peers", "incomplete", "error", "full", "busy", "unknown"};
+constexpr std::array kCommandTypes = {"start", "halt", "reap"};
 
-template <class E, std::size_t N>
-std::optional<E> named(const std::array<const char*, N>& names, std::string_view name) {
+constexpr std::size_t kMaxTextBytes = 200;      // of a text in a job specification
+constexpr std::size_t kMaxHostNameBytes = 100;  // in a heartbeat
+constexpr double kMaxAmount = 1e9;              // of a number in a job specification
+
+template <class Enum, std::size_t N>
+const char* name_of(const std::array<const char*, N>& names, Enum value) {
+    return names[static_cast<std::size_t>(value)];
+}
+
+template <class Enum, std::size_t N>
+std::optional<Enum> value_of(const std::array<const char*, N>& names, std::string_view name) {
     for (std::size_t i = 0; i < N; ++i)
-        if (name == names[i]) return static_cast<E>(i);
+        if (name == names[i]) return static_cast<Enum>(i);
     return std::nullopt;
 }
 
-bool absent(const Json& body, const char* key) {
-    auto it = body.find(key);
-    return it == body.end() || it->is_null();
+// Reads the fields of a job specification one after another and keeps the first error. Each `read` function leaves its
+// target as it was if the field is invalid.
+class FieldValidator {
+  public:
+    explicit FieldValidator(const Json& body) : body_(body) {}
+
+    const std::optional<Invalid>& error() const { return error_; }
+
+    // Records that the field is wrong unless an earlier one was.
+    void refuse(const char* field, const std::string& expected) {
+        if (!error_) error_ = Invalid{field, field + (" must " + expected)};
+    }
+
+    bool absent(const char* field) const {
+        auto it = body_.find(field);
+        return it == body_.end() || it->is_null();
+    }
+
+    void read_text(const char* field, std::string& target) {
+        auto value = text(body_, field);
+        if (value && !value->empty() && value->size() <= kMaxTextBytes)
+            target = std::move(*value);
+        else
+            refuse(field, "be a text of 1 to 200 bytes");
+    }
+
+    void read_amount(const char* field, double& target) {
+        auto value = amount(body_, field);
+        if (value && *value >= 0 && *value <= kMaxAmount)
+            target = *value;
+        else
+            refuse(field, "be a number of at least 0");
+    }
+
+    void read_flag(const char* field, bool& target) {
+        if (auto value = flag(body_, field))
+            target = *value;
+        else
+            refuse(field, "be true or false");
+    }
+
+    template <class Enum, std::size_t N>
+    void read_enum(const char* field, const std::array<const char*, N>& names, const char* expected, Enum& target) {
+        if (auto value = value_of<Enum>(names, text(body_, field).value_or("")))
+            target = *value;
+        else
+            refuse(field, expected);
+    }
+
+    void read_task_count(const char* field, std::uint32_t& target) {
+        auto value = count(body_, field);
+        if (value && *value >= 1 && *value <= kMaxTasks)
+            target = static_cast<std::uint32_t>(*value);
+        else
+            refuse(field, "be an integer from 1 to 100000");
+    }
+
+    void read_optional_texts(const char* field, std::optional<std::vector<std::string>>& target) {
+        if (absent(field)) return;
+        const Json* values = list(body_, field);
+        if (values && std::all_of(values->begin(), values->end(), [](const Json& value) { return value.is_string(); }))
+            target = values->get<std::vector<std::string>>();
+        else
+            refuse(field, "be a list of machine types, or null");
+    }
+
+    void read_optional_zone(const char* field, std::optional<std::string>& target) {
+        if (absent(field)) return;
+        target = text(body_, field);
+        if (!target) refuse(field, "be the name of a zone, or null");
+    }
+
+    void read_optional_amount(const char* field, std::optional<double>& target) {
+        if (absent(field)) return;
+        target = amount(body_, field);
+        if (!target || *target < 0) refuse(field, "be a number of at least 0, or null");
+    }
+
+  private:
+    const Json& body_;
+    std::optional<Invalid> error_;
+};
+
+void read_identity(FieldValidator& fields, JobSpec& spec) {
+    fields.read_text("ref", spec.id);
+    if (!valid_job_ref(spec.id)) fields.refuse("ref", "look like j-000412");
+    fields.read_text("lane", spec.jobClass);
+    fields.read_text("crew", spec.team);
+    fields.read_text("bundle", spec.image);
+    fields.read_enum("shape", kJobKinds, "be batch, gang or service", spec.kind);
+    fields.read_enum("rank", kPriorityClasses, "be production, urgent, standard or best_effort", spec.priority);
+    fields.read_task_count("steps", spec.taskCount);
+}
+
+void read_resources(FieldValidator& fields, JobSpec& spec) {
+    fields.read_amount("cores", spec.cores);
+    fields.read_amount("gpus", spec.gpus);
+    fields.read_amount("ramGb", spec.ramGb);
+    fields.read_amount("imageGb", spec.imageGb);
+}
+
+void read_durations(FieldValidator& fields, JobSpec& spec) {
+    // A service has no run time to estimate: the field may be missing, and its value does not count.
+    if (!spec.service() || !fields.absent("expectS")) fields.read_amount("expectS", spec.estimatedDurationS);
+    if (spec.service()) spec.estimatedDurationS = 0;
+    fields.read_amount("snapshotS", spec.checkpointIntervalS);
+    fields.read_amount("flushS", spec.checkpointWriteS);
+}
+
+void read_constraints(FieldValidator& fields, JobSpec& spec) {
+    fields.read_flag("together", spec.coLocated);
+    fields.read_flag("scatter", spec.spread);
+    fields.read_flag("loaners", spec.spotAllowed);
+    fields.read_optional_texts("builds", spec.machineTypes);
+    fields.read_optional_zone("hall", spec.zone);
+    fields.read_optional_amount("dueS", spec.deadlineS);
+}
+
+std::optional<TaskStatus> parse_task_status(const Json& body) {
+    auto id = parse_task_id(text(body, "step").value_or(""));
+    auto attempt = count(body, "try");
+    auto phase = value_of<TaskPhase>(kTaskPhases, text(body, "phase").value_or(""));
+    if (!id || !attempt || !phase) return std::nullopt;
+    TaskStatus status;
+    status.job = std::move(id->job);
+    status.index = id->index;
+    status.attempt = static_cast<std::uint32_t>(*attempt);
+    status.phase = *phase;
+    status.cause = value_of<Cause>(kCauses, text(body, "cause").value_or("")).value_or(Cause::none);
+    status.checkpointed = flag(body, "kept").value_or(false);
+    return status;
 }
 
 }  // namespace
 
+const char* to_string(JobKind kind) {
+    return name_of(kJobKinds, kind);
+}
+
+const char* to_string(PriorityClass priority) {
+    return name_of(kPriorityClasses, priority);
+}
+
+const char* to_string(TaskPhase phase) {
+    return name_of(kTaskPhases, phase);
+}
+
+const char* to_string(Cause cause) {
+    return name_of(kCauses, cause);
+}
+
+const char* to_string(CommandType type) {
+    return name_of(kCommandTypes, type);
+}
+
 bool valid_job_ref(std::string_view ref) {
     if (ref.size() < 3 || ref.size() > 64 || !ref.starts_with("j-")) return false;
     return std::all_of(ref.begin() + 2, ref.end(), [](char c) {
@@ -33,213 +193,132 @@
 }
 
 std::variant<JobSpec, Invalid> parse_job(const Json& body) {
-    if (!body.is_object()) return Invalid{"the body must be a map"};
-    JobSpec s;
-    std::string bad;
-    auto need_text = [&](const char* key, std::string& out) {
-        auto v = text(body, key);
-        if (v && !v->empty() && v->size() <= 200)
-            out = std::move(*v);
-        else if (bad.empty())
-            bad = std::string(key) + " must be a text of 1 to 200 bytes";
-    };
-    auto need_amount = [&](const char* key, double& out) {
-        auto v = amount(body, key);
-        if (v && *v >= 0 && *v <= 1e9)
-            out = *v;
-        else if (bad.empty())
-            bad = std::string(key) + " must be a number of at least 0";
-    };
-    auto need_flag = [&](const char* key, bool& out) {
-        auto v = flag(body, key);
-        if (v)
-            out = *v;
-        else if (bad.empty())
-            bad = std::string(key) + " must be true or false";
-    };
-    need_text("ref", s.id);
-    if (bad.empty() && !valid_job_ref(s.id)) bad = "ref must look like j-000412";
-    need_text("lane", s.jobClass);
-    need_text("crew", s.team);
-    need_text("bundle", s.image);
-    auto kind = text(body, "shape");
-    if (kind == "batch")
-        s.kind = JobKind::batch;
-    else if (kind == "gang")
-        s.kind = JobKind::gang;
-    else if (kind == "service")
-        s.kind = JobKind::service;
-    else if (bad.empty())
-        bad = "shape must be batch, gang or service";
-    auto priority = named<PriorityClass>(kPriorityClasses, text(body, "rank").value_or(""));
-    if (priority)
-        s.priority = *priority;
-    else if (bad.empty())
-        bad = "rank must be production, urgent, standard or best_effort";
-    auto tasks = count(body, "steps");
-    if (tasks && *tasks >= 1 && *tasks <= kMaxTasks)
-        s.taskCount = static_cast<std::uint32_t>(*tasks);
-    else if (bad.empty())
-        bad = "steps must be an integer from 1 to 100000";
-    need_amount("cores", s.cores);
-    need_amount("gpus", s.gpus);
-    need_amount("ramGb", s.ramGb);
-    need_amount("imageGb", s.imageGb);
-    // A service has no run time to estimate.
-    if (!s.service() || !absent(body, "expectS")) need_amount("expectS", s.estimatedDurationS);
-    if (s.service()) s.estimatedDurationS = 0;
-    need_amount("snapshotS", s.checkpointIntervalS);
-    need_amount("flushS", s.checkpointWriteS);
-    need_flag("together", s.coLocated);
-    need_flag("scatter", s.spread);
-    need_flag("loaners", s.spotAllowed);
-    if (!absent(body, "builds")) {
-        const Json* machineTypes = list(body, "builds");
-        if (!machineTypes ||
-            !std::all_of(machineTypes->begin(), machineTypes->end(), [](const Json& b) { return b.is_string(); })) {
-            if (bad.empty()) bad = "builds must be a list of machine types, or null";
-        } else {
-            s.machineTypes = machineTypes->get<std::vector<std::string>>();
-        }
-    }
-    if (!absent(body, "hall")) {
-        s.zone = text(body, "hall");
-        if (!s.zone && bad.empty()) bad = "hall must be the name of a zone, or null";
-    }
-    if (!absent(body, "dueS")) {
-        s.deadlineS = amount(body, "dueS");
-        if ((!s.deadlineS || *s.deadlineS < 0) && bad.empty()) bad = "dueS must be a number of at least 0, or null";
-    }
-    if (!bad.empty()) return Invalid{bad};
-    return s;
-}
-
-Json to_json(const JobSpec& s) {
-    Json j = {{"ref", s.id},
-              {"lane", s.jobClass},
-              {"crew", s.team},
-              {"shape", s.kind == JobKind::gang      ? "gang"
-                        : s.kind == JobKind::service ? "service"
-                                                     : "batch"},
-              {"rank", kPriorityClasses[static_cast<std::size_t>(s.priority)]},
-              {"steps", s.taskCount},
-              {"cores", s.cores},
-              {"gpus", s.gpus},
-              {"ramGb", s.ramGb},
-              {"bundle", s.image},
-              {"imageGb", s.imageGb},
-              {"together", s.coLocated},
-              {"scatter", s.spread},
-              {"loaners", s.spotAllowed},
-              {"expectS", s.estimatedDurationS},
-              {"snapshotS", s.checkpointIntervalS},
-              {"flushS", s.checkpointWriteS}};
-    if (s.machineTypes) j["builds"] = *s.machineTypes;
-    if (s.zone) j["hall"] = *s.zone;
-    if (s.deadlineS) j["dueS"] = *s.deadlineS;
-    return j;
+    if (!body.is_object()) return Invalid{"", "the body must be a map"};
+    FieldValidator fields(body);
+    JobSpec spec;
+    read_identity(fields, spec);
+    read_resources(fields, spec);
+    read_durations(fields, spec);
+    read_constraints(fields, spec);
+    if (fields.error()) return *fields.error();
+    return spec;
+}
+
+Json to_json(const JobSpec& spec) {
+    Json body = {{"ref", spec.id},
+                 {"lane", spec.jobClass},
+                 {"crew", spec.team},
+                 {"shape", to_string(spec.kind)},
+                 {"rank", to_string(spec.priority)},
+                 {"steps", spec.taskCount},
+                 {"cores", spec.cores},
+                 {"gpus", spec.gpus},
+                 {"ramGb", spec.ramGb},
+                 {"bundle", spec.image},
+                 {"imageGb", spec.imageGb},
+                 {"together", spec.coLocated},
+                 {"scatter", spec.spread},
+                 {"loaners", spec.spotAllowed},
+                 {"expectS", spec.estimatedDurationS},
+                 {"snapshotS", spec.checkpointIntervalS},
+                 {"flushS", spec.checkpointWriteS}};
+    if (spec.machineTypes) body["builds"] = *spec.machineTypes;
+    if (spec.zone) body["hall"] = *spec.zone;
+    if (spec.deadlineS) body["dueS"] = *spec.deadlineS;
+    return body;
 }
 
 std::string task_id(std::string_view job, std::uint32_t index) {
     return std::string(job) + "/" + std::to_string(index);
 }
 
-std::optional<std::pair<std::string, std::uint32_t>> parse_task_id(std::string_view name) {
+std::optional<TaskId> parse_task_id(std::string_view name) {
     auto slash = name.rfind('/');
     if (slash == std::string_view::npos || slash == 0) return std::nullopt;
     std::uint32_t index = 0;
     const char* end = name.data() + name.size();
-    auto [p, ec] = std::from_chars(name.data() + slash + 1, end, index);
-    if (ec != std::errc() || p != end) return std::nullopt;
-    return std::pair(std::string(name.substr(0, slash)), index);
+    auto [parsed, error] = std::from_chars(name.data() + slash + 1, end, index);
+    if (error != std::errc() || parsed != end) return std::nullopt;
+    return TaskId{std::string(name.substr(0, slash)), index};
 }
 
 std::optional<Heartbeat> parse_heartbeat(const Json& body) {
     auto host = text(body, "host");
     auto agentEpoch = count(body, "tenure");
     auto sequence = count(body, "tick");
-    if (!host || host->empty() || host->size() > 100 || !agentEpoch || !sequence) return std::nullopt;
-    Heartbeat r;
-    r.host = std::move(*host);
-    r.address = text(body, "address").value_or("");
-    r.machineType = text(body, "build").value_or("");
-    r.zone = text(body, "hall").value_or("");
-    r.spot = flag(body, "loaners").value_or(false);
-    r.agentEpoch = *agentEpoch;
-    r.sequence = *sequence;
-    r.fencingToken = count(body, "baton").value_or(0);
-    r.preemptionNoticeS = amount(body, "reclaimS");
+    if (!host || host->empty() || host->size() > kMaxHostNameBytes || !agentEpoch || !sequence) return std::nullopt;
+    Heartbeat heartbeat;
+    heartbeat.host = std::move(*host);
+    heartbeat.address = text(body, "address").value_or("");
+    heartbeat.machineType = text(body, "build").value_or("");
+    heartbeat.zone = text(body, "hall").value_or("");
+    heartbeat.spot = flag(body, "loaners").value_or(false);
+    heartbeat.agentEpoch = *agentEpoch;
+    heartbeat.sequence = *sequence;
+    heartbeat.fencingToken = count(body, "baton").value_or(0);
+    heartbeat.preemptionNoticeS = amount(body, "reclaimS");
     if (const Json* tasks = list(body, "steps")) {
-        r.tasks.reserve(tasks->size());
-        for (const Json& e : *tasks) {
-            auto name = parse_task_id(text(e, "step").value_or(""));
-            auto attempt = count(e, "try");
-            auto phase = named<TaskPhase>(kPhases, text(e, "phase").value_or(""));
-            if (!name || !attempt || !phase) return std::nullopt;
-            TaskStatus t;
-            t.job = std::move(name->first);
-            t.index = name->second;
-            t.attempt = static_cast<std::uint32_t>(*attempt);
-            t.phase = *phase;
-            t.cause = named<Cause>(kCauses, text(e, "cause").value_or("")).value_or(Cause::none);
-            t.checkpointed = flag(e, "kept").value_or(false);
-            r.tasks.push_back(std::move(t));
+        heartbeat.tasks.reserve(tasks->size());
+        for (const Json& task : *tasks) {
+            auto status = parse_task_status(task);
+            if (!status) return std::nullopt;
+            heartbeat.tasks.push_back(std::move(*status));
         }
     }
-    return r;
+    return heartbeat;
 }
 
-Json to_json(const Command& o) {
-    static constexpr std::array types = {"start", "halt", "reap"};
-    Json j = {{"verb", types[static_cast<std::size_t>(o.type)]}, {"step", task_id(o.job, o.index)}, {"try", o.attempt}};
-    if (o.type == CommandType::stop) j["windDownS"] = o.gracePeriodS;
-    return j;
+Json to_json(const Command& command) {
+    Json body = {
+        {"verb", to_string(command.type)}, {"step", task_id(command.job, command.index)}, {"try", command.attempt}};
+    if (command.type == CommandType::stop) body["windDownS"] = command.gracePeriodS;
+    return body;
 }
 
 Json to_json(const std::vector<Command>& commands) {
-    Json j = Json::array();
-    for (const Command& o : commands) j.push_back(to_json(o));
-    return j;
+    Json body = Json::array();
+    for (const Command& command : commands) body.push_back(to_json(command));
+    return body;
 }
 
-std::optional<MachineType> parse_type(const Json& b) {
-    auto typeName = text(b, "sku");
+std::optional<MachineType> parse_type(const Json& body) {
+    auto typeName = text(body, "sku");
     if (!typeName) return std::nullopt;
-    MachineType t;
-    t.typeName = *typeName;
-    t.cores = amount(b, "cores").value_or(0);
-    t.gpus = amount(b, "gpus").value_or(0);
-    t.ramGb = amount(b, "ramGb").value_or(0);
-    t.cacheGb = amount(b, "cacheGb").value_or(0);
-    t.fetchGbPerS = amount(b, "fetchGbPerS").value_or(0);
-    t.rate = amount(b, "rate").value_or(0);
-    t.lowPrice = amount(b, "lowPrice").value_or(0);
-    t.startupS = amount(b, "startupS").value_or(0);
-    if (const Json* zones = list(b, "halls"))
-        for (const Json& h : *zones)
-            if (h.is_string()) t.zones.push_back(h.get<std::string>());
-    return t;
-}
-
-Json to_json(const MachineType& t) {
-    return {{"sku", t.typeName}, {"cores", t.cores},       {"gpus", t.gpus},
-            {"ramGb", t.ramGb},  {"cacheGb", t.cacheGb},   {"fetchGbPerS", t.fetchGbPerS},
-            {"rate", t.rate},    {"lowPrice", t.lowPrice}, {"startupS", t.startupS},
-            {"halls", t.zones}};
-}
-
-std::optional<Machine> parse_machine(const Json& b) {
-    auto ref = text(b, "ref");
-    if (!ref) return std::nullopt;
-    Machine m;
-    m.name = *ref;
-    m.machineType = text(b, "build").value_or("");
-    m.zone = text(b, "hall").value_or("");
-    m.phase = text(b, "phase").value_or("");
-    m.address = text(b, "address").value_or("");
-    m.spot = flag(b, "loaners").value_or(false);
-    m.heldS = amount(b, "heldS").value_or(0);
-    return m;
+    MachineType type;
+    type.typeName = *typeName;
+    type.cores = amount(body, "cores").value_or(0);
+    type.gpus = amount(body, "gpus").value_or(0);
+    type.ramGb = amount(body, "ramGb").value_or(0);
+    type.cacheGb = amount(body, "cacheGb").value_or(0);
+    type.fetchGbPerS = amount(body, "fetchGbPerS").value_or(0);
+    type.rate = amount(body, "rate").value_or(0);
+    type.lowPrice = amount(body, "lowPrice").value_or(0);
+    type.startupS = amount(body, "startupS").value_or(0);
+    if (const Json* zones = list(body, "halls"))
+        for (const Json& zone : *zones)
+            if (zone.is_string()) type.zones.push_back(zone.get<std::string>());
+    return type;
+}
+
+Json to_json(const MachineType& type) {
+    return {{"sku", type.typeName}, {"cores", type.cores},       {"gpus", type.gpus},
+            {"ramGb", type.ramGb},  {"cacheGb", type.cacheGb},   {"fetchGbPerS", type.fetchGbPerS},
+            {"rate", type.rate},    {"lowPrice", type.lowPrice}, {"startupS", type.startupS},
+            {"halls", type.zones}};
+}
+
+std::optional<Machine> parse_machine(const Json& body) {
+    auto name = text(body, "ref");
+    if (!name) return std::nullopt;
+    Machine machine;
+    machine.name = *name;
+    machine.machineType = text(body, "build").value_or("");
+    machine.zone = text(body, "hall").value_or("");
+    machine.phase = text(body, "phase").value_or("");
+    machine.address = text(body, "address").value_or("");
+    machine.spot = flag(body, "loaners").value_or(false);
+    machine.heldS = amount(body, "heldS").value_or(0);
+    return machine;
 }
 
 }  // namespace wellstair::wire
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// What users, workers and the cloud send and get: PROTOCOL as types.
 #include <gtest/gtest.h>
 
 #include "wire/messages.hpp"
@@ -27,37 +28,98 @@
 TEST(Wire, EveryNeededFieldIsNeeded) {
     for (const char* key : {"ref", "lane", "crew", "shape", "rank", "steps", "cores", "gpus", "ramGb", "bundle",
                             "imageGb", "together", "scatter", "loaners", "expectS", "snapshotS", "flushS"}) {
-        Json j = job();
-        j.erase(key);
-        auto parsed = parse_job(j);
+        Json body = job();
+        body.erase(key);
+        auto parsed = parse_job(body);
         ASSERT_TRUE(std::holds_alternative<Invalid>(parsed)) << key;
         EXPECT_TRUE(std::get<Invalid>(parsed).reason.starts_with(key)) << std::get<Invalid>(parsed).reason;
     }
     for (const char* key : {"builds", "hall", "dueS"}) {
-        Json j = job();
-        j.erase(key);
-        EXPECT_TRUE(std::holds_alternative<JobSpec>(parse_job(j))) << key;
+        Json body = job();
+        body.erase(key);
+        EXPECT_TRUE(std::holds_alternative<JobSpec>(parse_job(body))) << key;
     }
 }
 
 TEST(Wire, InvalidValuesAreRefused) {
-    auto invalid = [](const char* key, Json value) {
-        Json j = job();
-        j[key] = std::move(value);
-        return std::holds_alternative<Invalid>(parse_job(j));
+    struct Row {
+        const char* field;
+        Json value;
+        const char* reason;
     };
-    EXPECT_TRUE(invalid("steps", 0));
-    EXPECT_TRUE(invalid("steps", 100001));
-    EXPECT_TRUE(invalid("steps", 1.5));
-    EXPECT_TRUE(invalid("cores", -1));
-    EXPECT_TRUE(invalid("cores", "8"));
-    EXPECT_TRUE(invalid("rank", "high"));
-    EXPECT_TRUE(invalid("shape", "array"));
-    EXPECT_TRUE(invalid("ref", "x-1"));
-    EXPECT_TRUE(invalid("ref", "j-1/2"));
-    EXPECT_TRUE(invalid("together", 1));
-    EXPECT_TRUE(invalid("builds", "g8"));
-    EXPECT_FALSE(invalid("unknown", 1));
+    const Row rows[] = {
+        {"steps", 0, "steps must be an integer from 1 to 100000"},
+        {"steps", 100001, "steps must be an integer from 1 to 100000"},
+        {"steps", 1.5, "steps must be an integer from 1 to 100000"},
+        {"cores", -1, "cores must be a number of at least 0"},
+        {"cores", "8", "cores must be a number of at least 0"},
+        {"cores", 1.1e9, "cores must be a number of at least 0"},
+        {"rank", "high", "rank must be production, urgent, standard or best_effort"},
+        {"shape", "array", "shape must be batch, gang or service"},
+        {"ref", "x-1", "ref must look like j-000412"},
+        {"ref", "j-1/2", "ref must look like j-000412"},
+        {"ref", "", "ref must be a text of 1 to 200 bytes"},
+        {"crew", std::string(201, 'a'), "crew must be a text of 1 to 200 bytes"},
+        {"together", 1, "together must be true or false"},
+        {"builds", "g8", "builds must be a list of machine types, or null"},
+        {"builds", {"g8", 1}, "builds must be a list of machine types, or null"},
+        {"hall", 1, "hall must be the name of a zone, or null"},
+        {"dueS", -1, "dueS must be a number of at least 0, or null"},
+    };
+    for (const Row& row : rows) {
+        Json body = job();
+        body[row.field] = row.value;
+        auto parsed = parse_job(body);
+        ASSERT_TRUE(std::holds_alternative<Invalid>(parsed)) << row.field << " " << row.value;
+        EXPECT_EQ(std::get<Invalid>(parsed).field, row.field);
+        EXPECT_EQ(std::get<Invalid>(parsed).reason, row.reason);
+    }
+}
+
+TEST(Wire, UnknownFieldsAreIgnored) {
+    Json body = job();
+    body["unknown"] = 1;
+    EXPECT_TRUE(std::holds_alternative<JobSpec>(parse_job(body)));
+}
+
+// Users see the first field that is wrong, in the order of the checks, not in that of the map.
+TEST(Wire, TheFirstOfSeveralErrorsIsTold) {
+    Json body = job();
+    body["cores"] = body["crew"] = body["together"] = nullptr;
+    EXPECT_EQ(std::get<Invalid>(parse_job(body)).reason, "crew must be a text of 1 to 200 bytes");
+    EXPECT_EQ(std::get<Invalid>(parse_job(Json::array())).reason, "the body must be a map");
+}
+
+// A service has no run time to estimate; a value that is given is checked and does not count.
+TEST(Wire, AServiceNeedsNoEstimate) {
+    Json body = job();
+    body["shape"] = "service";
+    EXPECT_EQ(std::get<JobSpec>(parse_job(body)).estimatedDurationS, 0);
+    body.erase("expectS");
+    EXPECT_EQ(std::get<JobSpec>(parse_job(body)).estimatedDurationS, 0);
+    body["expectS"] = -1;
+    EXPECT_EQ(std::get<Invalid>(parse_job(body)).reason, "expectS must be a number of at least 0");
+}
+
+TEST(Wire, TaskIdsSurviveTheRoundTrip) {
+    auto id = parse_task_id(task_id("j-000412", 3));
+    ASSERT_TRUE(id);
+    EXPECT_EQ(id->job, "j-000412");
+    EXPECT_EQ(id->index, 3u);
+    for (const char* name : {"", "j-1", "/3", "j-1/", "j-1/x", "j-1/3x", "j-1/-3", "j-1/4294967296"})
+        EXPECT_FALSE(parse_task_id(name)) << name;
+}
+
+TEST(Wire, EnumsHaveTheirNamesOnTheWire) {
+    EXPECT_STREQ(to_string(JobKind::service), "service");
+    EXPECT_STREQ(to_string(PriorityClass::best_effort), "best_effort");
+    EXPECT_STREQ(to_string(TaskPhase::checkpointing), "flushing");
+    EXPECT_STREQ(to_string(Cause::none), "");
+    EXPECT_STREQ(to_string(Cause::stopped), "halted");
+    EXPECT_STREQ(to_string(Cause::gang_peer_lost), "peers");
+    EXPECT_STREQ(to_string(Cause::unknown), "unknown");
+    EXPECT_STREQ(to_string(CommandType::stop), "halt");
+    EXPECT_STREQ(to_string(CommandType::acknowledge), "reap");
 }
 
 TEST(Wire, BytesThatAreNoMessage) {
@@ -73,7 +135,7 @@
     EXPECT_FALSE(decode(std::string(60000, '\x91') + '\x01'));
 }
 
-TEST(Wire, ReportsAreRead) {
+TEST(Wire, HeartbeatsAreRead) {
     Json body = {{"host", "n-000231"},
                  {"address", "10.1.0.232:9000"},
                  {"build", "g8"},
@@ -86,12 +148,12 @@
                  {"steps",
                   {{{"step", "j-000412/3"}, {"try", 2}, {"phase", "running"}},
                    {{"step", "j-000398/0"}, {"try", 1}, {"phase", "ended"}, {"cause", "halted"}, {"kept", true}}}}};
-    auto r = parse_heartbeat(body);
-    ASSERT_TRUE(r);
-    EXPECT_EQ(r->tasks[0].index, 3u);
-    EXPECT_EQ(r->tasks[1].cause, Cause::stopped);
-    EXPECT_TRUE(r->tasks[1].checkpointed);
-    body["steps"][0]["phase"] = "dancing";
+    auto heartbeat = parse_heartbeat(body);
+    ASSERT_TRUE(heartbeat);
+    EXPECT_EQ(heartbeat->tasks[0].index, 3u);
+    EXPECT_EQ(heartbeat->tasks[1].cause, Cause::stopped);
+    EXPECT_TRUE(heartbeat->tasks[1].checkpointed);
+    body["steps"][0]["phase"] = "paused";
     EXPECT_FALSE(parse_heartbeat(body));
 }
 
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -209,7 +209,7 @@
         auto hash = key.find('#');
         auto task = wire::parse_task_id(key.substr(0, hash));
         wire::TaskStatus t;
-        t.job = task->first, t.index = task->second;
+        t.job = task->job, t.index = task->index;
         t.attempt = static_cast<std::uint32_t>(std::stoul(key.substr(hash + 1)));
         if (value == "running") t.phase = wire::TaskPhase::running;
         if (value == "waiting") t.phase = wire::TaskPhase::waiting;
