--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -10,188 +10,266 @@
 namespace wellstair::config {
 namespace {
 
-class Reader {
+constexpr double kAmountBound = 1e12;                // numbers must be below
+constexpr std::int64_t kMaxInteger = 1'000'000'000;  // the largest integer accepted
+constexpr unsigned kMaxPort = 65535;
+constexpr double kMsPerS = 1000;
+
+// A transaction that places tasks changes a chunk, the team's usage, the leader's record and, for gangs, the job's
+// record.
+constexpr int kMinTransactionOperations = 4;
+
+// Reads the fields of one table of the file. Each function throws a SettingsError with the file and the full name of
+// the field if the field is missing or has another type or range. Refers to the parsed file, which must outlive it.
+class TableReader {
   public:
-    explicit Reader(std::string file) : file_(std::move(file)) {}
+    // `prefix`: the table's own name and a dot, "deployment.workers."; empty for the root.
+    TableReader(std::string file, const toml::table& table, std::string prefix = "")
+        : file_(std::move(file)), table_(table), prefix_(std::move(prefix)) {}
 
-    [[noreturn]] void fail(const std::string& field, const std::string& expected) const {
-        throw SettingsError(file_ + ": " + field + ": expected " + expected);
+    [[noreturn]] void fail(const std::string& key, const std::string& expected) const {
+        throw SettingsError(file_ + ": " + prefix_ + key + ": expected " + expected);
     }
 
-    std::string text(const toml::table& t, const std::string& where, const char* key) const {
-        auto v = t[key].value_exact<std::string>();
-        if (!v || v->empty()) fail(where + key, "a text that is not empty");
-        return *v;
+    bool contains(const char* key) const { return table_.contains(key); }
+
+    std::string text(const char* key) const {
+        auto value = table_[key].value_exact<std::string>();
+        if (!value || value->empty()) fail(key, "a text that is not empty");
+        return *value;
     }
 
-    double number(const toml::table& t, const std::string& where, const char* key, double least, bool open) const {
-        auto node = t[key];
-        if (!node.is_number()) fail(where + key, open ? "a number above 0" : "a number of at least 0");
-        double v = *node.value<double>();
-        if (!(open ? v > least : v >= least) || !(v < 1e12))
-            fail(where + key, open ? "a number above 0" : "a number of at least 0");
-        return v;
+    // Empty if the field is missing or no text.
+    std::string text_or_empty(const char* key) const { return table_[key].value_or(std::string()); }
+
+    double positive(const char* key) const {
+        auto value = number(key);
+        if (!value || !(*value > 0)) fail(key, "a number above 0");
+        return *value;
     }
 
-    double amount_or_0(const toml::table& t, const std::string& where, const char* key) const {
-        return t.contains(key) ? number(t, where, key, 0, false) : 0;
+    // 0 if the field is missing.
+    double amount_or_0(const char* key) const {
+        if (!contains(key)) return 0;
+        auto value = number(key);
+        if (!value || !(*value >= 0)) fail(key, "a number of at least 0");
+        return *value;
     }
 
-    int whole(const toml::table& t, const std::string& where, const char* key) const {
-        auto v = t[key].value_exact<std::int64_t>();
-        if (!v || *v < 1 || *v > 1'000'000'000) fail(where + key, "an integer of at least 1");
-        return static_cast<int>(*v);
+    int positive_integer(const char* key) const {
+        auto value = table_[key].value_exact<std::int64_t>();
+        if (!value || *value < 1 || *value > kMaxInteger) fail(key, "an integer of at least 1");
+        return static_cast<int>(*value);
     }
 
-    Endpoint endpoint(const toml::table& t, const std::string& where, const char* key) const {
-        std::string s = text(t, where, key);
-        auto colon = s.rfind(':');
-        unsigned port = 0;
-        boost::system::error_code ec;
-        if (colon != std::string::npos) {
-            auto [p, e] = std::from_chars(s.data() + colon + 1, s.data() + s.size(), port);
-            if (e == std::errc() && p == s.data() + s.size() && port >= 1 && port <= 65535) {
-                boost::asio::ip::make_address_v4(s.substr(0, colon), ec);
-                if (!ec) return {s.substr(0, colon), static_cast<std::uint16_t>(port)};
-            }
-        }
-        fail(where + key, "an IPv4 address and port such as 10.0.0.1:8080");
+    Endpoint endpoint(const char* key) const {
+        auto parsed = parse_endpoint(text(key));
+        if (!parsed) fail(key, "an IPv4 address and port such as 10.0.0.1:8080");
+        return *parsed;
     }
 
-    const toml::table& table(const toml::table& t, const std::string& where, const char* key) const {
-        auto* sub = t[key].as_table();
-        if (!sub) fail(where + key, "a table");
-        return *sub;
+    TableReader table(const char* key) const {
+        const auto* nested = table_[key].as_table();
+        if (!nested) fail(key, "a table");
+        return {file_, *nested, prefix_ + key + "."};
     }
 
-    std::vector<const toml::table*> tables(const toml::table& t, const std::string& where, const char* key) const {
-        std::vector<const toml::table*> out;
-        if (!t.contains(key)) return out;
-        auto* arr = t[key].as_array();
-        if (!arr) fail(where + key, "a list of tables");
-        for (auto& e : *arr) {
-            if (!e.is_table()) fail(where + key, "a list of tables");
-            out.push_back(e.as_table());
+    // The tables of a list (`[[key]]`), in the order of the file; none if the field is missing.
+    std::vector<TableReader> tables(const char* key) const {
+        std::vector<TableReader> readers;
+        if (!contains(key)) return readers;
+        const auto* list = table_[key].as_array();
+        if (!list) fail(key, "a list of tables");
+        for (const auto& element : *list) {
+            if (!element.is_table()) fail(key, "a list of tables");
+            readers.emplace_back(file_, *element.as_table(), prefix_ + key + ".");
         }
-        return out;
+        return readers;
     }
 
   private:
+    // Integers count as numbers, too. Nothing if it is none, or out of all bounds.
+    std::optional<double> number(const char* key) const {
+        auto node = table_[key];
+        if (!node.is_number()) return std::nullopt;
+        double value = *node.value<double>();
+        if (!(value < kAmountBound)) return std::nullopt;
+        return value;
+    }
+
+    static std::optional<Endpoint> parse_endpoint(const std::string& address) {
+        auto colon = address.rfind(':');
+        if (colon == std::string::npos) return std::nullopt;
+        const char* end = address.data() + address.size();
+        unsigned port = 0;
+        auto [parsed, error] = std::from_chars(address.data() + colon + 1, end, port);
+        if (error != std::errc() || parsed != end || port < 1 || port > kMaxPort) return std::nullopt;
+        std::string host = address.substr(0, colon);
+        boost::system::error_code invalid;
+        boost::asio::ip::make_address_v4(host, invalid);
+        if (invalid) return std::nullopt;
+        return Endpoint{host, static_cast<std::uint16_t>(port)};
+    }
+
     std::string file_;
+    const toml::table& table_;
+    std::string prefix_;
 };
 
-}  // namespace
+// What the parser says of a file that is no TOML, in one line.
+std::string describe(const toml::parse_error& error) {
+    std::string reason(error.description());
+    std::replace(reason.begin(), reason.end(), '\n', ' ');
+    auto line = error.source().begin.line;
+    std::string place = line ? "line " + std::to_string(line) + ": " : "";
+    return place + "expected a readable TOML file (" + reason + ")";
+}
 
-const Team* Settings::team(const std::string& name) const {
-    for (const Team& t : teams)
-        if (t.name == name) return &t;
-    return nullptr;
+toml::table parse(const std::string& path) {
+    try {
+        return toml::parse_file(path);
+    } catch (const toml::parse_error& error) {
+        throw SettingsError(path + ": " + describe(error));
+    }
 }
 
-StateLimits Settings::lowest_state_limits() const {
-    StateLimits limits = state_limits();
-    if (!nextState) return limits;
-    limits.valueKb = std::min(limits.valueKb, nextState->valueKb);
-    limits.writeRps = std::min(limits.writeRps, nextState->writeRps);
-    limits.transactionOperations = std::min(limits.transactionOperations, nextState->transactionOperations);
-    return limits;
+// `[[members]]`: the file lists all controllers, the settings all but this one.
+void read_members(const TableReader& root, Settings& settings) {
+    std::set<std::string> names = {settings.member};
+    for (const TableReader& reader : root.tables("members")) {
+        MemberAddress member;
+        member.name = reader.text("member");
+        member.zone = reader.text("location");
+        member.peer = reader.endpoint("peer_addr");
+        if (member.name == settings.member) continue;
+        if (!names.insert(member.name).second) reader.fail("member", "each name once");
+        settings.members.push_back(std::move(member));
+    }
 }
 
-namespace {
+// `[endpoints]`.
+void read_endpoints(const TableReader& endpoints, Settings& settings) {
+    settings.cloud = endpoints.endpoint("cloud");
+    settings.state = endpoints.endpoint("state");
+}
+
+// `[[deployment.teams]]`.
+void read_teams(const TableReader& deployment, Settings& settings) {
+    for (const TableReader& reader : deployment.tables("teams")) {
+        Team team;
+        team.name = reader.text("name");
+        team.cpus = reader.amount_or_0("cpus");
+        team.cpusMax = reader.amount_or_0("cpus_max");
+        team.gpus = reader.amount_or_0("gpus");
+        team.gpusMax = reader.amount_or_0("gpus_max");
+        if (settings.team(team.name)) reader.fail("name", "each name once");
+        settings.teams.push_back(std::move(team));
+    }
+    if (settings.teams.empty()) deployment.fail("teams", "at least one team");
+}
 
-// A transaction that places tasks changes a chunk, the team's parts, the placer and, of tasks bound to one another, the
-// job's record.
-constexpr int kLeastTransactionOperations = 4;
+// `[[deployment.objectives]]`.
+void read_objectives(const TableReader& deployment, Settings& settings) {
+    for (const TableReader& reader : deployment.tables("objectives")) {
+        Objective objective;
+        objective.kind = reader.text("kind");
+        objective.jobClass = reader.text_or_empty("class");
+        objective.withinS = reader.amount_or_0("within_s");
+        objective.times = reader.amount_or_0("times");
+        settings.objectives.push_back(std::move(objective));
+    }
+}
+
+// `[deployment.workers]`.
+void read_workers(const TableReader& workers, Settings& settings) {
+    settings.heartbeatIntervalS = workers.positive("report_s");
+    settings.leaseS = workers.positive("lease_s");
+    settings.gangWaitS = workers.positive("gang_wait_s");
+    settings.gangPeerS = workers.positive("gang_peer_s");
+    settings.cancelS = workers.positive("cancel_s");
+}
 
-int transaction_operations(const Reader& r, const toml::table& t, const std::string& where) {
-    int operations = r.whole(t, where, "txn_ops");
-    if (operations < kLeastTransactionOperations)
-        r.fail(where + "txn_ops", "an integer of at least " + std::to_string(kLeastTransactionOperations));
+int transaction_operations(const TableReader& state) {
+    int operations = state.positive_integer("txn_ops");
+    if (operations < kMinTransactionOperations)
+        state.fail("txn_ops", "an integer of at least " + std::to_string(kMinTransactionOperations));
     return operations;
 }
 
-// `state.next`: each field may be missing and then stays as it is.
-StateLimits next_limits(const Reader& r, const toml::table& t, const StateLimits& now) {
-    const std::string where = "deployment.state.next.";
+// `[deployment.state.next]`: a field that is missing stays as it is now.
+StateLimits next_limits(const TableReader& nextState, const StateLimits& now) {
     StateLimits next = now;
-    if (t.contains("value_kb")) next.valueKb = r.number(t, where, "value_kb", 0, true);
-    if (t.contains("write_rps")) next.writeRps = r.number(t, where, "write_rps", 0, true);
-    if (t.contains("txn_ops")) next.transactionOperations = transaction_operations(r, t, where);
+    if (nextState.contains("value_kb")) next.valueKb = nextState.positive("value_kb");
+    if (nextState.contains("write_rps")) next.writeRps = nextState.positive("write_rps");
+    if (nextState.contains("txn_ops")) next.transactionOperations = transaction_operations(nextState);
     // The largest value that is stored has to be divided in one transaction.
     if (next.valueKb * next.transactionOperations < now.valueKb)
-        r.fail(where + "value_kb", "at least state.value_kb divided by state.next.txn_ops");
+        nextState.fail("value_kb", "at least state.value_kb divided by state.next.txn_ops");
     return next;
 }
 
+// `[deployment.state]`.
+void read_state(const TableReader& state, Settings& settings) {
+    settings.stateRps = state.positive("rps");
+    settings.stateWriteRps = state.positive("write_rps");
+    settings.valueKb = state.positive("value_kb");
+    settings.transactionOperations = transaction_operations(state);
+    if (state.contains("next")) settings.nextState = next_limits(state.table("next"), settings.state_limits());
+}
+
+// `[deployment.cloud]`.
+void read_cloud(const TableReader& cloud, Settings& settings) {
+    settings.cloudRps = cloud.positive("rps");
+    settings.listLagS = cloud.amount_or_0("list_lag_s");
+}
+
+// `[deployment.quota]`.
+void read_quota(const TableReader& quota, Settings& settings) {
+    settings.cores = quota.positive("cores");
+    settings.ramMb = quota.positive("ram_mb");
+    settings.maxSockets = quota.positive_integer("max_sockets");
+}
+
+// `[deployment]` and its tables.
+void read_deployment(const TableReader& deployment, Settings& settings) {
+    settings.skewS = deployment.amount_or_0("skew_ms") / kMsPerS;
+    read_teams(deployment, settings);
+    read_objectives(deployment, settings);
+    read_workers(deployment.table("workers"), settings);
+    read_state(deployment.table("state"), settings);
+    read_cloud(deployment.table("cloud"), settings);
+    read_quota(deployment.table("quota"), settings);
+}
+
 }  // namespace
 
+const Team* Settings::team(const std::string& name) const {
+    for (const Team& team : teams)
+        if (team.name == name) return &team;
+    return nullptr;
+}
+
+StateLimits Settings::lowest_state_limits() const {
+    StateLimits limits = state_limits();
+    if (!nextState) return limits;
+    limits.valueKb = std::min(limits.valueKb, nextState->valueKb);
+    limits.writeRps = std::min(limits.writeRps, nextState->writeRps);
+    limits.transactionOperations = std::min(limits.transactionOperations, nextState->transactionOperations);
+    return limits;
+}
+
 Settings load_settings(const std::string& path) {
-    toml::table root;
-    try {
-        root = toml::parse_file(path);
-    } catch (const toml::parse_error& e) {
-        std::string why(e.description());
-        for (char& c : why)
-            if (c == '\n') c = ' ';
-        auto line = e.source().begin.line;
-        throw SettingsError(path + ": " + (line ? "line " + std::to_string(line) + ": " : "") +
-                            "expected a readable TOML file (" + why + ")");
-    }
-    Reader r(path);
-    Settings s;
-    s.member = r.text(root, "", "member");
-    s.location = r.text(root, "", "location");
-    s.front = r.endpoint(root, "", "front");
-    s.internal = r.endpoint(root, "", "internal_addr");
-    std::set<std::string> names = {s.member};
-    for (auto* t : r.tables(root, "", "members")) {
-        MemberAddress m{r.text(*t, "members.", "member"), r.text(*t, "members.", "location"),
-                        r.endpoint(*t, "members.", "peer_addr")};
-        if (m.name == s.member) continue;
-        if (!names.insert(m.name).second) r.fail("members.member", "each name once");
-        s.members.push_back(std::move(m));
-    }
-    const auto& ends = r.table(root, "", "endpoints");
-    s.cloud = r.endpoint(ends, "endpoints.", "cloud");
-    s.state = r.endpoint(ends, "endpoints.", "state");
-    const auto& d = r.table(root, "", "deployment");
-    s.skewS = r.amount_or_0(d, "deployment.", "skew_ms") / 1000;
-    for (auto* t : r.tables(d, "deployment.", "teams")) {
-        const std::string w = "deployment.teams.";
-        Team team{r.text(*t, w, "name"), r.amount_or_0(*t, w, "cpus"), r.amount_or_0(*t, w, "cpus_max"),
-                  r.amount_or_0(*t, w, "gpus"), r.amount_or_0(*t, w, "gpus_max")};
-        if (s.team(team.name)) r.fail(w + "name", "each name once");
-        s.teams.push_back(std::move(team));
-    }
-    if (s.teams.empty()) r.fail("deployment.teams", "at least one team");
-    for (auto* t : r.tables(d, "deployment.", "objectives")) {
-        const std::string w = "deployment.objectives.";
-        Objective o{r.text(*t, w, "kind"), (*t)["class"].value_or(std::string()), r.amount_or_0(*t, w, "within_s"),
-                    r.amount_or_0(*t, w, "times")};
-        s.objectives.push_back(std::move(o));
-    }
-    const auto& w = r.table(d, "deployment.", "workers");
-    const std::string ww = "deployment.workers.";
-    s.heartbeatIntervalS = r.number(w, ww, "report_s", 0, true);
-    s.leaseS = r.number(w, ww, "lease_s", 0, true);
-    s.gangWaitS = r.number(w, ww, "gang_wait_s", 0, true);
-    s.gangPeerS = r.number(w, ww, "gang_peer_s", 0, true);
-    s.cancelS = r.number(w, ww, "cancel_s", 0, true);
-    const auto& st = r.table(d, "deployment.", "state");
-    const std::string sw = "deployment.state.";
-    s.stateRps = r.number(st, sw, "rps", 0, true);
-    s.stateWriteRps = r.number(st, sw, "write_rps", 0, true);
-    s.valueKb = r.number(st, sw, "value_kb", 0, true);
-    s.transactionOperations = transaction_operations(r, st, sw);
-    if (st.contains("next")) s.nextState = next_limits(r, r.table(st, sw, "next"), s.state_limits());
-    const auto& c = r.table(d, "deployment.", "cloud");
-    s.cloudRps = r.number(c, "deployment.cloud.", "rps", 0, true);
-    s.listLagS = r.amount_or_0(c, "deployment.cloud.", "list_lag_s");
-    const auto& q = r.table(d, "deployment.", "quota");
-    s.cores = r.number(q, "deployment.quota.", "cores", 0, true);
-    s.ramMb = r.number(q, "deployment.quota.", "ram_mb", 0, true);
-    s.maxSockets = r.whole(q, "deployment.quota.", "max_sockets");
-    return s;
+    const toml::table file = parse(path);
+    const TableReader root(path, file);
+    Settings settings;
+    settings.member = root.text("member");
+    settings.location = root.text("location");
+    settings.front = root.endpoint("front");
+    settings.internal = root.endpoint("internal_addr");
+    read_members(root, settings);
+    read_endpoints(root.table("endpoints"), settings);
+    read_deployment(root.table("deployment"), settings);
+    return settings;
 }
 
 }  // namespace wellstair::config
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -82,17 +82,58 @@
 }
 
 TEST(Settings, SayWhichFieldIsWrong) {
-    EXPECT_EQ(outcome(kGood, "member = \"s-0\"\n", ""), "member: expected a text that is not empty");
-    EXPECT_EQ(outcome(kGood, "front = \"10.0.0.1:8080\"", "front = \"somewhere\""),
-              "front: expected an IPv4 address and port such as 10.0.0.1:8080");
-    EXPECT_EQ(outcome(kGood, "lease_s = 22.0", "lease_s = 0"), "deployment.workers.lease_s: expected a number above 0");
-    EXPECT_EQ(outcome(kGood, "lease_s = 22.0", "lease_s = \"22\""),
-              "deployment.workers.lease_s: expected a number above 0");
-    EXPECT_EQ(outcome(kGood, "txn_ops = 16", "txn_ops = 2"),
-              "deployment.state.txn_ops: expected an integer of at least 4");
-    EXPECT_EQ(outcome(kGood, "[deployment.cloud]\nrps = 5.0\nlist_lag_s = 6.0\n", ""),
-              "deployment.cloud: expected a table");
-    EXPECT_EQ(outcome(kGood, "cpus = 10.0", "cpus = -1.0"), "deployment.teams.cpus: expected a number of at least 0");
+    struct Row {
+        const char *from, *to;
+        const char* error;
+    };
+    const Row rows[] = {
+        {"member = \"s-0\"\n", "", "member: expected a text that is not empty"},
+        {"front = \"10.0.0.1:8080\"", "front = \"somewhere\"",
+         "front: expected an IPv4 address and port such as 10.0.0.1:8080"},
+        {"front = \"10.0.0.1:8080\"", "front = \"10.0.0.1:80800\"",
+         "front: expected an IPv4 address and port such as 10.0.0.1:8080"},
+        {"front = \"10.0.0.1:8080\"", "front = \"10.0.0:8080\"",
+         "front: expected an IPv4 address and port such as 10.0.0.1:8080"},
+        {"lease_s = 22.0", "lease_s = 0", "deployment.workers.lease_s: expected a number above 0"},
+        {"lease_s = 22.0", "lease_s = \"22\"", "deployment.workers.lease_s: expected a number above 0"},
+        {"lease_s = 22.0", "lease_s = 1e12", "deployment.workers.lease_s: expected a number above 0"},
+        {"txn_ops = 16", "txn_ops = 2", "deployment.state.txn_ops: expected an integer of at least 4"},
+        {"txn_ops = 16", "txn_ops = 0", "deployment.state.txn_ops: expected an integer of at least 1"},
+        {"txn_ops = 16", "txn_ops = 16\n[deployment.state.next]\ntxn_ops = 2",
+         "deployment.state.next.txn_ops: expected an integer of at least 4"},
+        {"txn_ops = 16", "txn_ops = 16\n[deployment.state.next]\nvalue_kb = 0.4",
+         "deployment.state.next.value_kb: expected at least state.value_kb divided by state.next.txn_ops"},
+        {"[deployment.cloud]\nrps = 5.0\nlist_lag_s = 6.0\n", "", "deployment.cloud: expected a table"},
+        {"cpus = 10.0", "cpus = -1.0", "deployment.teams.cpus: expected a number of at least 0"},
+        {"cpus = 10.0", "cpus = 10.0\n[[deployment.teams]]\nname = \"red\"",
+         "deployment.teams.name: expected each name once"},
+        {"[[deployment.teams]]\nname = \"red\"\ncpus = 10.0\ncpus_max = 20.0\n", "",
+         "deployment.teams: expected at least one team"},
+        {"[[members]]\nmember = \"s-1\"",
+         "[[members]]\nmember = \"s-1\"\nlocation = \"north\"\npeer_addr = \"10.0.0.3:1\"\n"
+         "[[members]]\nmember = \"s-1\"",
+         "members.member: expected each name once"},
+    };
+    for (const Row& row : rows) EXPECT_EQ(outcome(kGood, row.from, row.to), row.error) << row.to;
+}
+
+TEST(Settings, AreKeptInTheirUnits) {
+    std::string path = testing::TempDir() + "wellstair_settings_units.toml";
+    std::ofstream(path) << kGood;
+    Settings settings = load_settings(path);
+    std::remove(path.c_str());
+    EXPECT_EQ(settings.skewS, 0.25);
+    EXPECT_EQ(settings.size(), 2);
+    EXPECT_EQ(settings.members[0].peer.port, 8081);
+    EXPECT_EQ(settings.cloud.host, "10.2.0.2");
+    ASSERT_TRUE(settings.team("red"));
+    EXPECT_EQ(settings.team("red")->cpusMax, 20);
+    EXPECT_FALSE(settings.team("blue"));
+    EXPECT_EQ(settings.objectives[0].jobClass, "short");
+    EXPECT_EQ(settings.leaseS, 22);
+    EXPECT_EQ(settings.state_limits(), (StateLimits{8, 60, 16}));
+    EXPECT_EQ(settings.listLagS, 6);
+    EXPECT_EQ(settings.maxSockets, 1800);
 }
 
 TEST(Settings, UnreadableFiles) {
