--- a/src/placement/cache.cpp
+++ b/src/placement/cache.cpp
@@ -5,35 +5,37 @@
 namespace wellstair::placement {
 
 void ImageCache::fetch(const std::string& image, double gb, double now, double readyAt) {
-    auto [it, fresh] = images_.try_emplace(image);
-    Entry& e = it->second;
-    if (fresh) {
-        e.gb = gb;
-        e.readyAt = readyAt;
-        total_ += gb;
+    auto [it, isNew] = images_.try_emplace(image);
+    Entry& entry = it->second;
+    if (isNew) {
+        entry.gb = gb;
+        entry.readyAt = readyAt;
+        totalGb_ += gb;
     }
-    e.used = now;
-    ++e.pins;
-    if (fresh) evict();
+    entry.usedAt = now;
+    ++entry.pins;
+    if (isNew) evict();
 }
 
 void ImageCache::ready(const std::string& image, double gb, double now) {
-    auto [it, fresh] = images_.try_emplace(image);
-    if (fresh) {
-        it->second.gb = gb;
-        total_ += gb;
+    auto [it, isNew] = images_.try_emplace(image);
+    Entry& entry = it->second;
+    if (isNew) {
+        entry.gb = gb;
+        totalGb_ += gb;
     }
-    it->second.readyAt = std::min(fresh ? now : it->second.readyAt, now);
-    it->second.used = now;
-    if (fresh) evict();
+    entry.readyAt = std::min(isNew ? now : entry.readyAt, now);
+    entry.usedAt = now;
+    if (isNew) evict();
 }
 
 void ImageCache::release(const std::string& image, double now) {
     auto it = images_.find(image);
     if (it == images_.end()) return;
-    if (it->second.pins > 0) --it->second.pins;
-    if (it->second.pins == 0 && it->second.readyAt > now) {
-        total_ -= it->second.gb;
+    Entry& entry = it->second;
+    if (entry.pins > 0) --entry.pins;
+    if (entry.pins == 0 && entry.readyAt > now) {
+        totalGb_ -= entry.gb;
         images_.erase(it);
     }
 }
@@ -44,12 +46,14 @@
 }
 
 void ImageCache::evict() {
-    while (total_ > capacity_) {
+    while (totalGb_ > capacityGb_) {
         auto victim = images_.end();
-        for (auto it = images_.begin(); it != images_.end(); ++it)
-            if (it->second.pins == 0 && (victim == images_.end() || it->second.used < victim->second.used)) victim = it;
+        for (auto it = images_.begin(); it != images_.end(); ++it) {
+            const Entry& entry = it->second;
+            if (entry.pins == 0 && (victim == images_.end() || entry.usedAt < victim->second.usedAt)) victim = it;
+        }
         if (victim == images_.end()) return;
-        total_ -= victim->second.gb;
+        totalGb_ -= victim->second.gb;
         images_.erase(victim);
     }
 }
--- a/src/placement/lem.cpp
+++ b/src/placement/lem.cpp
@@ -9,67 +9,88 @@
 namespace {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
+constexpr double kMinHoldS = 1e-3;  // a hold has a length, whatever was estimated
 
-void count_zone(Request& r, std::uint32_t zone) {
-    for (auto& [name, n] : r.tasksPerZone)
-        if (name == zone) {
-            ++n;
-            return;
-        }
-    r.tasksPerZone.emplace_back(zone, 1);
-}
+// A machine that has been promised this often over is of no use for further promises: they would be too far off to be
+// true, and each makes the next look at it dearer.
+constexpr std::size_t kMaxHolds = 48;
 
-Need least(const Need& a, const Need& b) {
-    return {std::min(a.cores, b.cores), std::min(a.gpus, b.gpus), std::min(a.ramGb, b.ramGb)};
+// What `looked` counts, beside each look at a machine: so many holds, or comparisons of scores, cost as much as one.
+constexpr std::size_t kHoldsPerLook = 8;
+constexpr std::size_t kComparisonsPerLook = 16;
+
+bool ends_earlier(const Hold& a, const Hold& b) {
+    return a.until < b.until;
 }
 
 Need most(const Need& a, const Need& b) {
     return {std::max(a.cores, b.cores), std::max(a.gpus, b.gpus), std::max(a.ramGb, b.ramGb)};
 }
 
-// What is free at `t` and stays so, whatever begins later, for this length.
-Need free_from(const Machine& m, double t, double length) {
-    Need free = free_at(m, t);
-    for (const Hold& h : m.holds)
-        if (h.from > t && h.from < t + length) free = least(free, free_at(m, h.from));
-    return free;
+// A change of what is free on a machine, when a hold begins or ends.
+struct FreeChange {
+    double at;
+    Need change;
+};
+
+// The changes after `now` that the holds make, in the order of time.
+void list_changes(const std::vector<Hold>& holds, double now, std::vector<FreeChange>& changes) {
+    changes.clear();
+    for (const Hold& hold : holds) {
+        if (hold.until <= now) continue;
+        if (hold.from > now) changes.push_back({hold.from, Need{} - hold.need});
+        changes.push_back({hold.until, hold.need});
+    }
+    std::sort(changes.begin(), changes.end(), [](const FreeChange& a, const FreeChange& b) { return a.at < b.at; });
 }
 
 }  // namespace
 
 std::uint32_t times(const Need& room, const Need& need) {
-    double n = 1e6;
-    auto part = [&](double total, double one) {
-        if (one > 1e-9) n = std::min(n, total / one);
+    constexpr double kMostTimes = 1e6;
+    constexpr double kNothing = 1e-9;  // less than this is not needed at all
+    double fitting = kMostTimes;
+    auto limitBy = [&](double total, double each) {
+        if (each > kNothing) fitting = std::min(fitting, total / each);
     };
-    part(room.cores, need.cores);
-    part(room.gpus, need.gpus);
-    part(room.ramGb, need.ramGb);
-    return static_cast<std::uint32_t>(std::max(0.0, std::floor(n + 1e-6)));
+    limitBy(room.cores, need.cores);
+    limitBy(room.gpus, need.gpus);
+    limitBy(room.ramGb, need.ramGb);
+    return static_cast<std::uint32_t>(std::max(0.0, std::floor(fitting + Need::kTolerance)));
 }
 
-Need free_at(const Machine& m, double t) {
+Need free_at(const Machine& machine, double at) {
     Need used;
-    for (const Hold& h : m.holds)
-        if (h.from <= t && t < h.until) used += h.need;
-    return m.total - used;
+    for (const Hold& hold : machine.holds)
+        if (hold.from <= at && at < hold.until) used += hold.need;
+    return machine.total - used;
+}
+
+void Request::count_task_in(std::uint32_t zone) {
+    for (auto& [name, tasks] : tasksPerZone)
+        if (name == zone) {
+            ++tasks;
+            return;
+        }
+    tasksPerZone.emplace_back(zone, 1);
 }
 
 Planner::Planner(double now, std::vector<Machine> machines, Weights weights)
     : now_(now), machines_(std::move(machines)), weights_(weights) {
     free_.reserve(machines_.size());
     for (std::size_t i = 0; i < machines_.size(); ++i) {
-        Machine& m = machines_[i];
-        idle_ += !m.busy;
-        std::sort(m.holds.begin(), m.holds.end(), [](const Hold& a, const Hold& b) { return a.until < b.until; });
-        free_.push_back(free_at(m, now_));
-        promised_.push_back(std::any_of(m.holds.begin(), m.holds.end(), [&](const Hold& h) { return h.from > now_; }));
-        if (m.nodePool >= byNodePool_.size()) {
-            byNodePool_.resize(m.nodePool + 1);
-            roomiest_.resize(m.nodePool + 1);
+        Machine& machine = machines_[i];
+        idle_ += !machine.busy;
+        std::sort(machine.holds.begin(), machine.holds.end(), ends_earlier);
+        free_.push_back(free_at(machine, now_));
+        promised_.push_back(std::any_of(machine.holds.begin(), machine.holds.end(),
+                                        [&](const Hold& hold) { return hold.from > now_; }));
+        if (machine.nodePool >= byNodePool_.size()) {
+            byNodePool_.resize(machine.nodePool + 1);
+            roomiest_.resize(machine.nodePool + 1);
         }
-        byNodePool_[m.nodePool].push_back(i);
-        roomiest_[m.nodePool] = most(roomiest_[m.nodePool], free_.back());
+        byNodePool_[machine.nodePool].push_back(i);
+        roomiest_[machine.nodePool] = most(roomiest_[machine.nodePool], free_.back());
     }
 }
 
@@ -79,38 +100,35 @@
     return idle_ == 0;
 }
 
-double Planner::earliest(std::size_t i, const Need& need, double length) const {
-    const Machine& m = machines_[i];
-    if (!need.fits(m.total)) return kNever;
-    if (!promised_[i]) {  // the usual case: only what runs, in the order of its ends
-        Need free = free_[i];
-        if (need.fits(free)) return now_;
-        for (const Hold& h : m.holds) {
-            if (h.until <= now_) continue;
-            free += h.need;
-            if (need.fits(free)) return h.until;
-        }
-        return kNever;
-    }
-    // One sweep over what begins and ends: the first time from which the need fits for all of its length.
-    struct Event {
-        double at;
-        Need change;
-    };
-    static thread_local std::vector<Event> events;
-    events.clear();
-    for (const Hold& h : m.holds) {
-        if (h.until <= now_) continue;
-        if (h.from > now_) events.push_back({h.from, Need{} - h.need});
-        events.push_back({h.until, h.need});
+// Line 3 of algorithms 2 and 3; with promises to respect, line 3' of section IV.C.
+double Planner::earliest(std::size_t machine, const Need& need, double length) const {
+    if (!need.fits(machines_[machine].total)) return kNever;
+    if (!promised_[machine]) return earliest_after_running(machine, need);
+    return earliest_between_holds(machine, need, length);
+}
+
+// The usual case: nothing was promised, resources only get free, as what runs ends.
+double Planner::earliest_after_running(std::size_t machine, const Need& need) const {
+    Need free = free_[machine];
+    if (need.fits(free)) return now_;
+    for (const Hold& hold : machines_[machine].holds) {  // in the order of their ends
+        if (hold.until <= now_) continue;
+        free += hold.need;
+        if (need.fits(free)) return hold.until;
     }
-    std::sort(events.begin(), events.end(), [](const Event& a, const Event& b) { return a.at < b.at; });
-    Need free = free_[i];
+    return kNever;
+}
+
+// One sweep over what begins and ends: the first time from which the need fits for all of its length.
+double Planner::earliest_between_holds(std::size_t machine, const Need& need, double length) const {
+    static thread_local std::vector<FreeChange> changes;  // kept between calls to save its allocation
+    list_changes(machines_[machine].holds, now_, changes);
+    Need free = free_[machine];
     double start = need.fits(free) ? now_ : kNever;
-    for (std::size_t k = 0; k < events.size();) {
-        double at = events[k].at;
+    for (std::size_t k = 0; k < changes.size();) {
+        double at = changes[k].at;
         if (start + length <= at) return start;
-        while (k < events.size() && events[k].at == at) free += events[k++].change;
+        while (k < changes.size() && changes[k].at == at) free += changes[k++].change;
         if (!need.fits(free))
             start = kNever;
         else if (start == kNever)
@@ -119,225 +137,165 @@
     return start;
 }
 
-double Planner::score(const Machine& m, const Request& r, double start, double cachedAt, bool saturated) const {
-    double ready = start, fetchS = m.fetchGbPerS > 0 ? r.imageGb / m.fetchGbPerS : 0;
-    ready = cachedAt < 0 ? start + fetchS : std::max(start, cachedAt);
-    double care = m.penaltyS + (r.need.gpus <= 0 && m.total.gpus > 0 ? weights_.gpuHostPenaltyS : 0);
+double Planner::cached_at(const Machine& machine, const std::string& image) const {
+    return machine.cache ? machine.cache->ready_at(image, now_) : -1;
+}
+
+// Lines 4 to 8 of algorithm 3 when saturated, else the ready time of algorithm 2; both with penalties of our own.
+double Planner::score(const Machine& machine, const Request& request, double start, double cachedAt,
+                      bool saturated) const {
+    double fetchS = machine.fetchGbPerS > 0 ? request.imageGb / machine.fetchGbPerS : 0;
+    double ready = cachedAt < 0 ? start + fetchS : std::max(start, cachedAt);
+    bool wastesGpus = request.need.gpus <= 0 && machine.total.gpus > 0;
+    double ownPenalty = machine.penaltyS + (wastesGpus ? weights_.gpuHostPenaltyS : 0);
     // Small tasks side by side on few machines leave whole ones to wide tasks.
-    if (!m.busy && weights_.emptyHostPenaltyS > 0 && times(m.total, r.need) > 1) care += weights_.emptyHostPenaltyS;
-    if (!saturated) return ready + care;
-    double penalty = 0;
-    if (cachedAt < 0 && m.cacheGb > 0 && m.fetchGbPerS > 0 && m.cache)
-        penalty = m.cache->total_gb() * r.imageGb / m.cacheGb / m.fetchGbPerS;
-    return start + weights_.w * (ready - start) + penalty + care;
+    if (!machine.busy && weights_.emptyHostPenaltyS > 0 && times(machine.total, request.need) > 1)
+        ownPenalty += weights_.emptyHostPenaltyS;
+    if (!saturated) return ready + ownPenalty;
+    double evictionPenalty = 0;
+    if (cachedAt < 0 && machine.cacheGb > 0 && machine.fetchGbPerS > 0 && machine.cache)
+        evictionPenalty = machine.cache->total_gb() * request.imageGb / machine.cacheGb / machine.fetchGbPerS;
+    return start + weights_.w * (ready - start) + evictionPenalty + ownPenalty;
 }
 
-bool Planner::zone_allowed(const Request& r, std::uint32_t zone) const {
-    if (r.coLocated)
-        for (const auto& [name, n] : r.tasksPerZone)
-            if (n > 0 && name != zone) return false;
-    if (r.spread)
-        for (const auto& [name, n] : r.tasksPerZone)
-            if (name == zone && n >= r.spreadCap) return false;
+bool Planner::zone_allowed(const Request& request, std::uint32_t zone) const {
+    if (request.coLocated)
+        for (const auto& [name, tasks] : request.tasksPerZone)
+            if (tasks > 0 && name != zone) return false;
+    if (request.spread)
+        for (const auto& [name, tasks] : request.tasksPerZone)
+            if (name == zone && tasks >= request.spreadCap) return false;
     return true;
 }
 
-void Planner::hold(std::size_t i, double start, const Request& r) {
-    Machine& m = machines_[i];
-    Hold h{start, start + std::max(r.estimatedDurationS, 1e-3), r.need};
-    m.holds.insert(std::upper_bound(m.holds.begin(), m.holds.end(), h,
-                                    [](const Hold& a, const Hold& b) { return a.until < b.until; }),
-                   h);
+void Planner::hold(std::size_t machine, double start, const Request& request) {
+    Machine& held = machines_[machine];
+    Hold hold{start, start + std::max(request.estimatedDurationS, kMinHoldS), request.need};
+    auto place = std::upper_bound(held.holds.begin(), held.holds.end(), hold, ends_earlier);
+    held.holds.insert(place, hold);
     if (start > now_) {
-        promised_[i] = true;
+        promised_[machine] = true;
         return;
     }
-    free_[i] = free_[i] - r.need;
-    if (!m.busy) {
-        m.busy = true;
+    free_[machine] = free_[machine] - request.need;
+    if (!held.busy) {
+        held.busy = true;
         --idle_;
     }
 }
 
-void Planner::reserve(std::size_t i, const Need& need, double until) {
-    Request r;
-    r.need = need;
-    r.estimatedDurationS = until - now_;
-    hold(i, now_, r);
+void Planner::reserve(std::size_t machine, const Need& need, double until) {
+    Request request;
+    request.need = need;
+    request.estimatedDurationS = until - now_;
+    hold(machine, now_, request);
 }
 
-// The machines that can be of use. For starts at once, whole kinds without room are passed over, which makes a long
-// queue behind full machines cheap.
-std::vector<std::size_t> Planner::candidates(const Request& r, bool startOnly) {
-    std::vector<std::size_t> out;
+// The machines that can be of use. For starts at once, whole node pools without room are passed over, which makes a
+// long queue behind full machines cheap.
+Planner::MachineList Planner::machines_for(const Request& request, bool startOnly) {
+    MachineList list;
     for (std::size_t nodePool = 0; nodePool < byNodePool_.size(); ++nodePool) {
-        if (!r.allowed[nodePool] || byNodePool_[nodePool].empty()) continue;
-        if (!r.need.fits(machines_[byNodePool_[nodePool].front()].total)) continue;
-        if (!startOnly) {
-            looked_ += byNodePool_[nodePool].size();
-            out.insert(out.end(), byNodePool_[nodePool].begin(), byNodePool_[nodePool].end());
+        const MachineList& pool = byNodePool_[nodePool];
+        if (!request.allowed[nodePool] || pool.empty()) continue;
+        if (!request.need.fits(machines_[pool.front()].total)) continue;
+        if (startOnly) {
+            add_with_room_now(request, nodePool, list);
             continue;
         }
-        if (!r.need.fits(roomiest_[nodePool])) continue;
-        looked_ += byNodePool_[nodePool].size();
-        Need room;
-        for (std::size_t i : byNodePool_[nodePool]) {
-            room = most(room, free_[i]);
-            if (r.need.fits(free_[i])) out.push_back(i);
-        }
-        roomiest_[nodePool] = room;
+        looked_ += pool.size();
+        list.insert(list.end(), pool.begin(), pool.end());
     }
-    return out;
+    return list;
 }
 
-// A machine that has been promised this often over is of no use for further promises: they would be too far off to be
-// true, and each makes the next look at it dearer.
-double Planner::promisable(std::size_t i, const Request& r, bool startOnly) const {
-    constexpr std::size_t kMostHolds = 48;
-    if ((startOnly || machines_[i].holds.size() > kMostHolds) && !r.need.fits(free_[i])) return kNever;
-    const double start = earliest(i, r.need, r.estimatedDurationS);
+// Also brings `roomiest_` up to date, which is only lowered here.
+void Planner::add_with_room_now(const Request& request, std::size_t nodePool, MachineList& list) {
+    if (!request.need.fits(roomiest_[nodePool])) return;
+    looked_ += byNodePool_[nodePool].size();
+    Need roomiest;
+    for (std::size_t machine : byNodePool_[nodePool]) {
+        roomiest = most(roomiest, free_[machine]);
+        if (request.need.fits(free_[machine])) list.push_back(machine);
+    }
+    roomiest_[nodePool] = roomiest;
+}
+
+// The earliest start that may be promised to a task of the request; infinity if there is none.
+double Planner::promisable(std::size_t machine, const Request& request, bool startOnly) const {
+    bool onlyNow = startOnly || machines_[machine].holds.size() > kMaxHolds;
+    if (onlyNow && !request.need.fits(free_[machine])) return kNever;
+    const double start = earliest(machine, request.need, request.estimatedDurationS);
     return start - now_ > kEndlessS / 2 ? kNever : start;  // room that a service holds gets free at no known time
 }
 
 // Replicas that share a machine or a zone are lost together.
-double Planner::anti_affinity_penalty(std::size_t i, const Request& r) const {
-    if (!r.antiAffine) return 0;
-    double penalty =
-        weights_.sameHostPenaltyS * static_cast<double>(std::count(r.onMachines.begin(), r.onMachines.end(), i));
-    for (const auto& [zone, n] : r.tasksPerZone)
-        if (zone == machines_[i].zone) penalty += weights_.sameZonePenaltyS * n;
+double Planner::anti_affinity_penalty(std::size_t machine, const Request& request) const {
+    if (!request.antiAffine) return 0;
+    auto replicas = std::count(request.onMachines.begin(), request.onMachines.end(), machine);
+    double penalty = weights_.sameHostPenaltyS * static_cast<double>(replicas);
+    for (const auto& [zone, tasks] : request.tasksPerZone)
+        if (zone == machines_[machine].zone) penalty += weights_.sameZonePenaltyS * tasks;
     return penalty;
 }
 
-std::vector<Slot> Planner::place_batch(const Request& request, bool startOnly) {
-    Request r = request;
-    std::vector<Slot> out;
-    std::vector<std::size_t> among = candidates(r, startOnly);
-    struct Choice {
-        double start, cached, score;
-    };
-    std::vector<Choice> choices(among.size());
-    bool full = saturated();
-    auto rate = [&](std::size_t k) {
-        Choice& c = choices[k];
-        bool use = c.start != kNever && (!startOnly || c.start <= now_);
-        c.score =
-            use ? score(machines_[among[k]], r, c.start, c.cached, full) + anti_affinity_penalty(among[k], r) : kNever;
-    };
-    for (std::size_t k = 0; k < among.size(); ++k) {
-        const Machine& m = machines_[among[k]];
-        choices[k].start = promisable(among[k], r, startOnly);
-        looked_ += m.holds.size() / 8;
-        choices[k].cached = m.cache ? m.cache->ready_at(r.image, now_) : -1;
-        rate(k);
-    }
-    bool bound = r.coLocated || r.spread;
-    for (std::uint32_t n = 0; n < r.count; ++n) {
-        if (bool now = saturated(); now != full || (r.antiAffine && n > 0)) {
-            full = now;
-            for (std::size_t k = 0; k < among.size(); ++k) rate(k);
-        }
-        std::size_t best = among.size();
-        double bestScore = kNever;
-        for (std::size_t k = 0; k < among.size(); ++k)
-            if (choices[k].score < bestScore && (!bound || zone_allowed(r, machines_[among[k]].zone)))
-                bestScore = choices[k].score, best = k;
-        looked_ += among.size() / 16;  // a comparison each, beside the full look above
-        if (best == among.size()) break;
-        Choice& c = choices[best];
-        out.push_back({among[best], c.start});
-        hold(among[best], c.start, r);
-        if (c.start <= now_) count_zone(r, machines_[among[best]].zone);
-        if (r.antiAffine) r.onMachines.push_back(among[best]);
-        c.start = promisable(among[best], r, startOnly);
-        rate(best);
-    }
-    return out;
+void Planner::rate(Candidate& candidate, const Request& request, bool startOnly, bool saturated) const {
+    candidate.score = kNever;
+    bool usable = candidate.start != kNever && (!startOnly || candidate.start <= now_);
+    if (!usable) return;
+    const Machine& machine = machines_[candidate.machine];
+    candidate.score = score(machine, request, candidate.start, candidate.cachedAt, saturated) +
+                      anti_affinity_penalty(candidate.machine, request);
 }
 
-std::uint32_t Planner::capacity(std::size_t i, const Request& r, double at) const {
-    if (at <= now_ && !promised_[i]) return times(free_[i], r.need);
-    return times(free_from(machines_[i], at, r.estimatedDurationS), r.need);
+std::vector<Planner::Candidate> Planner::batch_candidates(const Request& request, bool startOnly, bool saturated) {
+    std::vector<Candidate> candidates;
+    for (std::size_t machine : machines_for(request, startOnly)) {
+        looked_ += machines_[machine].holds.size() / kHoldsPerLook;
+        Candidate candidate{machine, promisable(machine, request, startOnly),
+                            cached_at(machines_[machine], request.image), kNever};
+        rate(candidate, request, startOnly, saturated);
+        candidates.push_back(candidate);
+    }
+    return candidates;
 }
 
-std::optional<Planner::Fit> Planner::gang_at(const Request& r, const std::vector<std::size_t>& among, double at) {
-    struct Choice {
-        std::size_t machine;
-        std::uint32_t fit;
-        double score;
-    };
-    std::vector<Choice> choices;
-    std::uint64_t fit = 0;
-    looked_ += among.size();
-    for (std::size_t i : among) {
-        std::uint32_t n = zone_allowed(r, machines_[i].zone) ? std::min(capacity(i, r, at), r.count) : 0;
-        if (n) choices.push_back({i, n, 0});
-        fit += n;
+// The first of those with the lowest score (line 9 of algorithm 3); null if none is of use.
+Planner::Candidate* Planner::best_candidate(std::vector<Candidate>& candidates, const Request& request) const {
+    const bool zoneBound = request.coLocated || request.spread;
+    Candidate* best = nullptr;
+    double bestScore = kNever;
+    for (Candidate& candidate : candidates) {
+        if (!(candidate.score < bestScore)) continue;
+        if (zoneBound && !zone_allowed(request, machines_[candidate.machine].zone)) continue;
+        bestScore = candidate.score;
+        best = &candidate;
     }
-    if (fit < r.count) return std::nullopt;
-    bool full = saturated();
-    for (Choice& c : choices) {
-        const Machine& m = machines_[c.machine];
-        c.score = score(m, r, at, m.cache ? m.cache->ready_at(r.image, now_) : -1, full);
-    }
-    std::stable_sort(choices.begin(), choices.end(),
-                     [](const Choice& a, const Choice& b) { return a.score < b.score; });
-    Request left = r;
-    Fit out;
-    for (const Choice& c : choices)
-        for (std::uint32_t n = 0;
-             n < c.fit && out.slots.size() < r.count && zone_allowed(left, machines_[c.machine].zone); ++n) {
-            out.slots.push_back({c.machine, at});
-            out.score = c.score;  // of its last machine: it starts when all are ready
-            count_zone(left, machines_[c.machine].zone);
-        }
-    if (out.slots.size() < r.count) return std::nullopt;
-    return out;
+    return best;
 }
 
-std::vector<Slot> Planner::place_gang(const Request& r, bool startOnly) {
-    // A gang that must stay together is tried zone by zone, and goes where the last of its machines is ready first.
-    std::vector<std::vector<std::size_t>> groups;
-    auto split = [&](std::vector<std::size_t> all) {
-        groups.clear();
-        if (!r.coLocated || r.count == 1) {
-            groups.push_back(std::move(all));
-            return;
-        }
-        std::vector<std::uint32_t> zones;
-        for (std::size_t i : all) {
-            auto at = std::find(zones.begin(), zones.end(), machines_[i].zone);
-            if (at == zones.end()) {
-                zones.push_back(machines_[i].zone);
-                groups.emplace_back();
-                at = zones.end() - 1;
-            }
-            groups[at - zones.begin()].push_back(i);
+std::vector<Slot> Planner::place_batch(const Request& request, bool startOnly) {
+    Request remaining = request;  // with what this call has placed
+    std::vector<Slot> slots;
+    bool ratedSaturated = saturated();
+    std::vector<Candidate> candidates = batch_candidates(remaining, startOnly, ratedSaturated);
+    for (std::uint32_t placed = 0; placed < remaining.count; ++placed) {
+        bool nowSaturated = saturated();
+        if (nowSaturated != ratedSaturated || (remaining.antiAffine && placed > 0)) {
+            ratedSaturated = nowSaturated;
+            for (Candidate& candidate : candidates) rate(candidate, remaining, startOnly, ratedSaturated);
         }
-    };
-    auto best = [&](double at) -> std::vector<Slot> {
-        std::optional<Fit> found;
-        for (const auto& group : groups)
-            if (auto fit = gang_at(r, group, at); fit && (!found || fit->score < found->score)) found = std::move(fit);
-        if (!found) return {};
-        for (const Slot& s : found->slots) hold(s.machine, at, r);
-        return found->slots;
-    };
-    split(candidates(r, true));
-    if (auto slots = best(now_); !slots.empty() || startOnly) return slots;
-    split(candidates(r, false));
-    std::vector<double> ends;
-    for (const auto& group : groups)
-        for (std::size_t i : group)
-            for (const Hold& h : machines_[i].holds)
-                if (h.until > now_ && h.until - now_ < kEndlessS / 2) ends.push_back(h.until);
-    std::sort(ends.begin(), ends.end());
-    ends.erase(std::unique(ends.begin(), ends.end()), ends.end());
-    constexpr std::size_t kTries = 24;  // spread over the ends, so that a long queue does not cost a long search
-    std::size_t stride = std::max<std::size_t>(1, ends.size() / kTries);
-    for (std::size_t i = 0; i < ends.size(); i += stride)
-        if (auto slots = best(ends[i]); !slots.empty()) return slots;
-    return {};
+        Candidate* best = best_candidate(candidates, remaining);
+        looked_ += candidates.size() / kComparisonsPerLook;
+        if (!best) break;
+        slots.push_back({best->machine, best->start});
+        hold(best->machine, best->start, remaining);
+        if (best->start <= now_) remaining.count_task_in(machines_[best->machine].zone);
+        if (remaining.antiAffine) remaining.onMachines.push_back(best->machine);
+        best->start = promisable(best->machine, remaining, startOnly);
+        rate(*best, remaining, startOnly, ratedSaturated);
+    }
+    return slots;
 }
 
 }  // namespace wellstair::placement
--- a/src/placement/overload.cpp
+++ b/src/placement/overload.cpp
@@ -4,41 +4,66 @@
 #include <numeric>
 
 namespace wellstair::placement {
+namespace {
+
+using Indices = std::vector<std::size_t>;
+
+// The job with the most work; of equals the last one.
+Indices::iterator most_work(const std::vector<DueJob>& jobs, Indices& among) {
+    auto lessWork = [&](std::size_t a, std::size_t b) { return jobs[a].work < jobs[b].work; };
+    return std::prev(std::max_element(among.rbegin(), among.rend(), lessWork).base());
+}
+
+// What one level of due times has decided.
+struct LevelOrder {
+    Indices inTime;   // in the order of their due times
+    Indices late;     // left to the next level
+    double work = 0;  // of those in time, and of those before the level
+};
+
+// `remaining`: the jobs that no level before has taken in; `ahead`: the work of those that were.
+LevelOrder order_level(const std::vector<DueJob>& jobs, const Indices& remaining, std::size_t level,
+                       const Capacity& capacity, double ahead) {
+    LevelOrder order;
+    order.work = ahead;
+    Indices candidates;
+    for (std::size_t job : remaining) (level < jobs[job].due.size() ? candidates : order.late).push_back(job);
+    std::stable_sort(candidates.begin(), candidates.end(),
+                     [&](std::size_t a, std::size_t b) { return jobs[a].due[level] < jobs[b].due[level]; });
+    for (std::size_t job : candidates) {
+        const double due = jobs[job].due[level];
+        if (jobs[job].leastS > due) {
+            order.late.push_back(job);
+            continue;
+        }
+        order.inTime.push_back(job);
+        order.work += jobs[job].work;
+        if (order.work <= capacity(job, due)) continue;
+        auto victim = most_work(jobs, order.inTime);
+        order.work -= jobs[*victim].work;
+        order.late.push_back(*victim);
+        order.inTime.erase(victim);
+    }
+    std::sort(order.late.begin(), order.late.end());
+    return order;
+}
+
+}  // namespace
 
 std::vector<std::size_t> order_by_due(const std::vector<DueJob>& jobs, const Capacity& capacity, double ahead) {
-    std::vector<std::size_t> left(jobs.size()), out;
-    std::iota(left.begin(), left.end(), 0);
+    Indices remaining(jobs.size());
+    std::iota(remaining.begin(), remaining.end(), 0);
     std::size_t levels = 0;
-    for (const DueJob& j : jobs) levels = std::max(levels, j.due.size());
+    for (const DueJob& job : jobs) levels = std::max(levels, job.due.size());
+    Indices ordered;
     for (std::size_t level = 0; level < levels; ++level) {
-        std::vector<std::size_t> candidates, later, in;
-        for (std::size_t i : left) (level < jobs[i].due.size() ? candidates : later).push_back(i);
-        std::stable_sort(candidates.begin(), candidates.end(),
-                         [&](std::size_t a, std::size_t b) { return jobs[a].due[level] < jobs[b].due[level]; });
-        double work = ahead;  // of those already in the order
-        for (std::size_t i : candidates) {
-            if (jobs[i].leastS > jobs[i].due[level]) {
-                later.push_back(i);
-                continue;
-            }
-            in.push_back(i);
-            work += jobs[i].work;
-            if (work <= capacity(i, jobs[i].due[level])) continue;
-            // Of equals the last one tasks back.
-            auto most = std::prev(std::max_element(in.rbegin(), in.rend(), [&](std::size_t a, std::size_t b) {
-                                      return jobs[a].work < jobs[b].work;
-                                  }).base());
-            work -= jobs[*most].work;
-            later.push_back(*most);
-            in.erase(most);
-        }
-        ahead = work;
-        out.insert(out.end(), in.begin(), in.end());
-        std::sort(later.begin(), later.end());
-        left = std::move(later);
+        LevelOrder order = order_level(jobs, remaining, level, capacity, ahead);
+        ordered.insert(ordered.end(), order.inTime.begin(), order.inTime.end());
+        remaining = std::move(order.late);
+        ahead = order.work;
     }
-    out.insert(out.end(), left.begin(), left.end());
-    return out;
+    ordered.insert(ordered.end(), remaining.begin(), remaining.end());
+    return ordered;
 }
 
 }  // namespace wellstair::placement
--- a/src/placement/room.cpp
+++ b/src/placement/room.cpp
@@ -5,31 +5,36 @@
 namespace wellstair::placement {
 
 RoomCurve::RoomCurve(const std::vector<Machine>& machines, const Request& request, double now) {
-    std::uint32_t free = 0;
-    for (const Machine& m : machines) {
-        if (!request.allowed[m.nodePool] || !request.need.fits(m.total)) continue;
-        all_ += times(m.total, request.need);
-        Need room = free_at(m, now);
-        std::uint32_t fits = times(room, request.need);
-        free += fits;
-        for (const Hold& h : m.holds) {  // in the order of their ends
-            if (h.from > now || h.until <= now) continue;
-            room += h.need;
-            std::uint32_t more = times(room, request.need);
-            if (more > fits) free_.emplace_back(h.until - now, more - fits);
-            fits = more;
-        }
+    std::uint32_t fitNow = 0;
+    for (const Machine& machine : machines) {
+        if (!request.allowed[machine.nodePool] || !request.need.fits(machine.total)) continue;
+        all_ += times(machine.total, request.need);
+        fitNow += times(free_at(machine, now), request.need);
+        add_machine(machine, request.need, now);
+    }
+    std::sort(steps_.begin(), steps_.end());
+    steps_.insert(steps_.begin(), {0, fitNow});
+    for (std::size_t i = 1; i < steps_.size(); ++i) steps_[i].tasks += steps_[i - 1].tasks;
+}
+
+// Adds a step for each end of a task that makes room, for now with what it adds alone.
+void RoomCurve::add_machine(const Machine& machine, const Need& need, double now) {
+    Need room = free_at(machine, now);
+    std::uint32_t fitBefore = times(room, need);
+    for (const Hold& hold : machine.holds) {
+        if (hold.from > now || hold.until <= now) continue;
+        room += hold.need;
+        std::uint32_t fitAfter = times(room, need);
+        if (fitAfter > fitBefore) steps_.push_back({hold.until - now, fitAfter - fitBefore});
+        fitBefore = fitAfter;
     }
-    std::sort(free_.begin(), free_.end());
-    free_.insert(free_.begin(), {0, free});
-    for (std::size_t i = 1; i < free_.size(); ++i) free_[i].second += free_[i - 1].second;
 }
 
 double RoomCurve::within(double seconds) const {
     if (seconds < 0 || all_ == 0) return 0;
-    auto next =
-        std::upper_bound(free_.begin(), free_.end(), seconds, [](double s, const auto& e) { return s < e.first; });
-    return static_cast<double>(std::prev(next)->second) / all_;
+    auto next = std::upper_bound(steps_.begin(), steps_.end(), seconds,
+                                 [](double limit, const Step& step) { return limit < step.afterS; });
+    return static_cast<double>(std::prev(next)->tasks) / all_;
 }
 
 }  // namespace wellstair::placement
--- a/src/placement/room.hpp
+++ b/src/placement/room.hpp
@@ -1,24 +1,39 @@
-// How much room machines have for one shape of task, now and as what runs there ends: a pure function over views.
+// How much room machines have for one kind of task, now and as what runs there ends.
+//
+// A pure function over views of the machines, which it does not keep; no errors. Times are seconds.
 #pragma once
 
-#include <utility>
+#include <cstdint>
+#include <tuple>
 #include <vector>
 
 #include "placement/lem.hpp"
 
 namespace wellstair::placement {
 
+// Room over time, if nothing new starts, in tasks of one kind.
 class RoomCurve {
   public:
+    // `now`: on the clock of the machines' holds. Of the request, the need and the allowed node pools count. The holds
+    // have to be in the order of their ends.
     RoomCurve(const std::vector<Machine>& machines, const Request& request, double now);
-    // Tasks of the shape that the machines hold when nothing else is there.
+    // Tasks that the machines hold when nothing else is there.
     std::uint32_t all() const { return all_; }
-    // Tasks that have room within so many seconds if nothing new starts, as a part of `all`.
+    // Tasks that have room within so many seconds, as a part of `all`, 0 to 1.
     double within(double seconds) const;
 
   private:
+    struct Step {
+        double afterS;
+        std::uint32_t tasks;  // with room from then on
+        bool operator<(const Step& other) const {
+            return std::tie(afterS, tasks) < std::tie(other.afterS, other.tasks);
+        }
+    };
+    void add_machine(const Machine& machine, const Need& need, double now);
+
     std::uint32_t all_ = 0;
-    std::vector<std::pair<double, std::uint32_t>> free_;  // from when on, how many: rising
+    std::vector<Step> steps_;  // rising in both; the first is at 0
 };
 
 }  // namespace wellstair::placement
--- a/src/placement/scale_out.cpp
+++ b/src/placement/scale_out.cpp
@@ -2,52 +2,75 @@
 
 #include <algorithm>
 #include <limits>
+#include <optional>
 
 namespace wellstair::placement {
+namespace {
 
-std::vector<ScaleOut> choose_scale_out(const std::vector<Offer>& offers, const std::vector<Want>& wants,
-                                       std::vector<std::uint32_t> pending, std::uint32_t most) {
-    struct Box {
-        std::size_t offer;
-        Need room;
-    };
-    std::vector<Box> boxes;
+// A machine that is to come, with what is left of it.
+struct Bin {
+    std::size_t offer;
+    Need room;
+};
+
+std::vector<Bin> pending_bins(const std::vector<Offer>& offers, const std::vector<std::uint32_t>& pending) {
+    std::vector<Bin> bins;
     for (std::size_t i = 0; i < offers.size(); ++i)
-        for (std::uint32_t n = 0; n < pending[i]; ++n) boxes.push_back({i, offers[i].total});
+        for (std::uint32_t n = 0; n < pending[i]; ++n) bins.push_back({i, offers[i].total});
+    return bins;
+}
+
+// Puts as many of the tasks into the bin as it holds; returns how many are left.
+std::uint32_t fill(Bin& bin, const Need& need, std::uint32_t tasks) {
+    while (tasks > 0 && need.fits(bin.room)) {
+        bin.room = bin.room - need;
+        --tasks;
+    }
+    return tasks;
+}
+
+// The offer with the lowest price per task, the first of equals; a machine counts with no more tasks than there are.
+std::optional<std::size_t> cheapest_offer(const std::vector<Offer>& offers, const Want& want, std::uint32_t tasks) {
+    std::optional<std::size_t> cheapest;
+    double lowestPrice = std::numeric_limits<double>::infinity();
+    for (std::size_t i = 0; i < offers.size(); ++i) {
+        const Offer& offer = offers[i];
+        if (offer.refused || !want.allowed[i]) continue;
+        std::uint32_t fitting = std::min(times(offer.total, want.need), tasks);
+        if (fitting == 0) continue;
+        double price = offer.rate / fitting;
+        if (price < lowestPrice) {
+            lowestPrice = price;
+            cheapest = i;
+        }
+    }
+    return cheapest;
+}
+
+}  // namespace
+
+std::vector<ScaleOut> choose_scale_out(const std::vector<Offer>& offers, const std::vector<Want>& wants,
+                                       const std::vector<std::uint32_t>& pending, std::uint32_t most) {
+    std::vector<Bin> bins = pending_bins(offers, pending);
     std::vector<std::uint32_t> rented(offers.size(), 0);
-    std::uint32_t sum = 0;
-    for (const Want& w : wants) {
-        std::uint32_t left = w.count;
-        for (Box& b : boxes)
-            while (left > 0 && w.allowed[b.offer] && w.need.fits(b.room)) {
-                b.room = b.room - w.need;
-                --left;
-            }
-        while (left > 0 && sum < most) {
-            std::size_t best = offers.size();
-            double bestPrice = std::numeric_limits<double>::infinity();
-            for (std::size_t i = 0; i < offers.size(); ++i) {
-                const Offer& o = offers[i];
-                std::uint32_t fit = o.refused || !w.allowed[i] ? 0 : std::min(times(o.total, w.need), left);
-                if (fit == 0) continue;
-                double price = o.rate / fit;
-                if (price < bestPrice) bestPrice = price, best = i;
-            }
-            if (best == offers.size()) break;
-            Box box{best, offers[best].total};
-            while (left > 0 && w.need.fits(box.room)) {
-                box.room = box.room - w.need;
-                --left;
-            }
-            boxes.push_back(box);
-            ++rented[best];
-            ++sum;
+    std::uint32_t rentedInAll = 0;
+    for (const Want& want : wants) {
+        std::uint32_t tasks = want.count;
+        for (Bin& bin : bins)
+            if (want.allowed[bin.offer]) tasks = fill(bin, want.need, tasks);
+        while (tasks > 0 && rentedInAll < most) {
+            auto offer = cheapest_offer(offers, want, tasks);
+            if (!offer) break;
+            Bin& bin = bins.emplace_back(Bin{*offer, offers[*offer].total});
+            tasks = fill(bin, want.need, tasks);
+            ++rented[*offer];
+            ++rentedInAll;
         }
     }
-    std::vector<ScaleOut> out;
+    std::vector<ScaleOut> chosen;
     for (std::size_t i = 0; i < offers.size(); ++i)
-        if (rented[i]) out.push_back({i, rented[i]});
-    return out;
+        if (rented[i] > 0) chosen.push_back({i, rented[i]});
+    return chosen;
 }
 
 }  // namespace wellstair::placement
--- a/src/placement/scale_out.hpp
+++ b/src/placement/scale_out.hpp
@@ -1,4 +1,6 @@
-// Which machines to rent for work that has no room: pure functions over views.
+// Which machines to rent for work that has no room.
+//
+// A pure function over views, safe from any thread; no errors. The machines are filled by bin packing, first fit.
 #pragma once
 
 #include <string>
@@ -8,27 +10,31 @@
 
 namespace wellstair::placement {
 
-struct Offer {  // one type in one zone, ordinary or spot
+// What can be rented: one machine type in one zone, on demand or spot.
+struct Offer {
     std::string machineType, zone;
     bool spot = false;
     Need total;
-    double rate = 0, startupS = 0;
+    double rate = 0;       // price, in the cloud's unit
+    double startupS = 0;   // seconds from the order until it is ready
     bool refused = false;  // the cloud had none a short while ago
 };
 
+// Tasks of one kind that wait for room.
 struct Want {
-    Need need;
+    Need need;  // of each
     std::uint32_t count = 0;
     std::vector<bool> allowed;  // by offer
 };
 
 struct ScaleOut {
-    std::size_t offer = 0;
-    std::uint32_t number = 0;
+    std::size_t offer = 0;     // index into the offers
+    std::uint32_t number = 0;  // machines to rent
 };
 
-// Cheapest per task first; machines on their way (`coming`, by offer) are filled before new ones are asked for.
+// Cheapest per task first; machines on their way (`pending`, by offer) are filled before new ones are asked for. At
+// most `most` machines in all.
 std::vector<ScaleOut> choose_scale_out(const std::vector<Offer>& offers, const std::vector<Want>& wants,
-                                       std::vector<std::uint32_t> pending, std::uint32_t most);
+                                       const std::vector<std::uint32_t>& pending, std::uint32_t most);
 
 }  // namespace wellstair::placement
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,3 +1,4 @@
+// Where tasks go: placement (LEM), the image cache, the order under overload, and which machines to rent.
 #include <gtest/gtest.h>
 
 #include "placement/lem.hpp"
@@ -9,20 +10,23 @@
 
 namespace {
 
+// Machines of 8 cores in two zones, in turn, with an empty image cache each.
 struct Site {
     std::vector<ImageCache> caches;
     std::vector<Machine> machines;
-    explicit Site(int n) {
-        for (int i = 0; i < n; ++i) caches.emplace_back(10.0);
-        for (int i = 0; i < n; ++i) {
-            Machine m;
-            m.zone = i % 2;
-            m.total = {8, 0, 32};
-            m.cacheGb = 10, m.fetchGbPerS = 0.1;
-            m.cache = &caches[i];
-            machines.push_back(m);
+    explicit Site(int machineCount) {
+        for (int i = 0; i < machineCount; ++i) caches.emplace_back(10.0);
+        for (int i = 0; i < machineCount; ++i) {
+            Machine machine;
+            machine.zone = i % 2;
+            machine.total = {8, 0, 32};
+            machine.cacheGb = 10;
+            machine.fetchGbPerS = 0.1;
+            machine.cache = &caches[i];
+            machines.push_back(machine);
         }
     }
+    // A task on machine `i` from the start on.
     void run(int i, double until, Need need = {8, 0, 8}) {
         machines[i].busy = true;
         machines[i].holds.push_back({0, until, need});
@@ -30,41 +34,44 @@
 };
 
 Request request(std::size_t machines, std::uint32_t count = 1) {
-    Request r;
-    r.need = {8, 0, 8};
-    r.image = "img", r.imageGb = 1, r.estimatedDurationS = 50, r.count = count;
-    r.allowed.assign(machines, true);
-    return r;
+    Request request;
+    request.need = {8, 0, 8};
+    request.image = "img";
+    request.imageGb = 1;
+    request.estimatedDurationS = 50;
+    request.count = count;
+    request.allowed.assign(machines, true);
+    return request;
 }
 
 // PAPER, algorithm 5: with an idle machine left, the earliest image-ready time decides.
 TEST(Lem, WithAnIdleMachineTheImageReadyFirstWins) {
-    Site s(2);
-    s.caches[1].ready("img", 1, 0);
-    Planner p(100, s.machines, {});
-    EXPECT_EQ(p.place_batch(request(2), false)[0].machine, 1u);
+    Site site(2);
+    site.caches[1].ready("img", 1, 0);
+    Planner planner(100, site.machines, {});
+    EXPECT_EQ(planner.place_batch(request(2), false)[0].machine, 1u);
 }
 
 // A fetch under way counts with its end, not as a whole fetch.
 TEST(Lem, AFetchUnderWayCountsWithItsEnd) {
-    Site s(2);
-    s.caches[1].fetch("img", 1, 95, 103);
-    Planner p(100, s.machines, {});
-    EXPECT_EQ(p.place_batch(request(2), false)[0].machine, 1u);
+    Site site(2);
+    site.caches[1].fetch("img", 1, 95, 103);
+    Planner planner(100, site.machines, {});
+    EXPECT_EQ(planner.place_batch(request(2), false)[0].machine, 1u);
 }
 
 // Once every machine runs something, W decides between a wait for a warm slot and a fetch.
 TEST(Lem, SaturatedWeightDecidesBetweenWaitingAndFetching) {
     for (auto [w, machine] : {std::pair(1.0, 0u), std::pair(10.0, 1u)}) {
-        Site s(2);
-        s.caches[1].ready("img", 1, 0);
-        s.run(0, 200, {1, 0, 1});  // runs something, has room, lacks the image: 10 s to fetch
-        s.machines[0].total = {9, 0, 32};
-        s.run(1, 130);  // warm, free in 30 s
+        Site site(2);
+        site.caches[1].ready("img", 1, 0);
+        site.run(0, 200, {1, 0, 1});  // runs something, has room, lacks the image: 10 s to fetch
+        site.machines[0].total = {9, 0, 32};
+        site.run(1, 130);  // warm, free in 30 s
         Weights weights;
         weights.w = w;
-        Planner p(100, s.machines, weights);
-        auto slots = p.place_batch(request(2), false);
+        Planner planner(100, site.machines, weights);
+        auto slots = planner.place_batch(request(2), false);
         EXPECT_EQ(slots[0].machine, machine) << w;
         EXPECT_EQ(slots[0].start, machine == 0 ? 100 : 130);
     }
@@ -72,71 +79,71 @@
 
 // What was promised to an earlier task is held: a later one may slip in only if it is over in time.
 TEST(Lem, PromisesAreKept) {
-    Site s(1);
-    s.run(0, 130, {4, 0, 4});
-    Planner p(100, s.machines, {});
-    EXPECT_EQ(p.place_batch(request(1), false)[0].start, 130);
+    Site site(1);
+    site.run(0, 130, {4, 0, 4});
+    Planner planner(100, site.machines, {});
+    EXPECT_EQ(planner.place_batch(request(1), false)[0].start, 130);
     Request small = request(1);
     small.need = {4, 0, 4}, small.estimatedDurationS = 50;
-    EXPECT_GT(p.place_batch(small, false)[0].start, 100);
+    EXPECT_GT(planner.place_batch(small, false)[0].start, 100);
     small.estimatedDurationS = 20;
-    EXPECT_EQ(p.place_batch(small, false)[0].start, 100);
+    EXPECT_EQ(planner.place_batch(small, false)[0].start, 100);
 }
 
 TEST(Lem, EvictionPenaltyBreaksTheTie) {
-    Site s(2);
-    s.caches[0].ready("old", 8, 0);
-    s.run(0, 200, {1, 0, 1});
-    s.run(1, 200, {1, 0, 1});
-    for (auto& m : s.machines) m.total = {9, 0, 32};
-    Planner p(100, s.machines, {});
-    EXPECT_EQ(p.place_batch(request(2), false)[0].machine, 1u);
+    Site site(2);
+    site.caches[0].ready("old", 8, 0);
+    site.run(0, 200, {1, 0, 1});
+    site.run(1, 200, {1, 0, 1});
+    for (auto& machine : site.machines) machine.total = {9, 0, 32};
+    Planner planner(100, site.machines, {});
+    EXPECT_EQ(planner.place_batch(request(2), false)[0].machine, 1u);
 }
 
 TEST(Lem, GangsStartWholeOrNotAtAll) {
-    Site s(3);
-    s.run(2, 140);
-    Planner p(100, s.machines, {});
-    auto slots = p.place_gang(request(3, 3), false);
+    Site site(3);
+    site.run(2, 140);
+    Planner planner(100, site.machines, {});
+    auto slots = planner.place_gang(request(3, 3), false);
     ASSERT_EQ(slots.size(), 3u);
     for (const auto& slot : slots) EXPECT_EQ(slot.start, 140);  // held for the moment at which all fit
-    EXPECT_TRUE(Planner(100, s.machines, {}).place_gang(request(3, 3), true).empty());
-    EXPECT_TRUE(Planner(100, s.machines, {}).place_gang(request(3, 4), false).empty());
+    EXPECT_TRUE(Planner(100, site.machines, {}).place_gang(request(3, 3), true).empty());
+    EXPECT_TRUE(Planner(100, site.machines, {}).place_gang(request(3, 4), false).empty());
 }
 
 TEST(Lem, ZonesOfAGang) {
-    Site s(4);  // zones a, b, a, b
+    Site site(4);  // zones a, b, a, b
     Request coLocated = request(4, 2);
     coLocated.coLocated = true;
-    auto slots = Planner(100, s.machines, {}).place_gang(coLocated, true);
+    auto slots = Planner(100, site.machines, {}).place_gang(coLocated, true);
     ASSERT_EQ(slots.size(), 2u);
-    EXPECT_EQ(s.machines[slots[0].machine].zone, s.machines[slots[1].machine].zone);
+    EXPECT_EQ(site.machines[slots[0].machine].zone, site.machines[slots[1].machine].zone);
     Request spread = request(4, 3);
     spread.spread = true, spread.spreadCap = 2;
-    slots = Planner(100, s.machines, {}).place_gang(spread, true);
+    slots = Planner(100, site.machines, {}).place_gang(spread, true);
     ASSERT_EQ(slots.size(), 3u);
     int inA = 0;
-    for (const auto& slot : slots) inA += s.machines[slot.machine].zone == 0;
+    for (const auto& slot : slots) inA += site.machines[slot.machine].zone == 0;
     EXPECT_LE(inA, 2);
     EXPECT_GE(inA, 1);
 }
 
 TEST(Cache, LeastRecentlyUsedGoesFirstAndUnfinishedFetchesAreGivenUp) {
-    ImageCache c(10);
-    c.ready("a", 4, 1);
-    c.ready("b", 4, 2);
-    c.ready("a", 4, 3);
-    c.ready("d", 4, 4);
-    EXPECT_LT(c.ready_at("b", 5), 0);
-    EXPECT_EQ(c.ready_at("a", 5), 5);
-    c.fetch("e", 1, 5, 20);
-    EXPECT_EQ(c.ready_at("e", 6), 20);
-    c.release("e", 7);
-    EXPECT_LT(c.ready_at("e", 8), 0);
+    ImageCache cache(10);
+    cache.ready("a", 4, 1);
+    cache.ready("b", 4, 2);
+    cache.ready("a", 4, 3);
+    cache.ready("d", 4, 4);
+    EXPECT_LT(cache.ready_at("b", 5), 0);
+    EXPECT_EQ(cache.ready_at("a", 5), 5);
+    cache.fetch("e", 1, 5, 20);
+    EXPECT_EQ(cache.ready_at("e", 6), 20);
+    cache.release("e", 7);
+    EXPECT_LT(cache.ready_at("e", 8), 0);
 }
 
 TEST(Overload, AsManyAsPossibleAreInTime) {
-    // One job of 100 s would make the three short ones late; it tasks back.
+    // One job of 100 s would make the three short ones late; it steps back.
     std::vector<DueJob> jobs = {{100, 10, {110, 300}}, {30, 10, {120}}, {30, 10, {130}}, {30, 10, {140}}};
     auto rate = [](std::size_t, double due) { return due; };
     EXPECT_EQ(order_by_due(jobs, rate), (std::vector<std::size_t>{1, 2, 3, 0}));
@@ -145,7 +152,7 @@
     EXPECT_EQ(order_by_due(jobs, rate), (std::vector<std::size_t>{2, 0, 1}));
 }
 
-// On full machines, what counts is what gets free in time: the wide job that would make the small ones late tasks back,
+// On full machines, what counts is what gets free in time: the wide job that would make the small ones late steps back,
 // and is still before those that are late anyway.
 TEST(Overload, OrderFollowsTheRoomThatGetsFree) {
     std::vector<Machine> machines(4);
@@ -172,62 +179,62 @@
     std::vector<Offer> offers(2);
     offers[0].total = {8, 0, 32}, offers[0].rate = 1;
     offers[1].total = {64, 0, 256}, offers[1].rate = 4;
-    Want w{{8, 0, 8}, 9, {true, true}};
-    auto r = choose_scale_out(offers, {w}, {0, 0}, 20);
-    ASSERT_EQ(r.size(), 2u);
-    EXPECT_EQ(r[0].number, 1u);
-    EXPECT_EQ(r[1].number, 1u);
-    EXPECT_TRUE(choose_scale_out(offers, {w}, {1, 1}, 20).empty());
+    Want want{{8, 0, 8}, 9, {true, true}};
+    auto chosen = choose_scale_out(offers, {want}, {0, 0}, 20);
+    ASSERT_EQ(chosen.size(), 2u);
+    EXPECT_EQ(chosen[0].number, 1u);
+    EXPECT_EQ(chosen[1].number, 1u);
+    EXPECT_TRUE(choose_scale_out(offers, {want}, {1, 1}, 20).empty());
     offers[0].refused = offers[1].refused = true;
-    EXPECT_TRUE(choose_scale_out(offers, {w}, {0, 0}, 20).empty());
+    EXPECT_TRUE(choose_scale_out(offers, {want}, {0, 0}, 20).empty());
 }
 
 // A gang starts when the last of its machines is ready: the zone where that is soonest is taken, not the first that has
 // room.
 TEST(Lem, AGangGoesToTheZoneWhereItsLastMachineIsReadyFirst) {
-    Site s(4);  // zone 0: machines 0 and 2, zone 1: machines 1 and 3
-    s.caches[0].ready("img", 1, 0);
-    s.caches[1].ready("img", 1, 0);
-    s.caches[3].ready("img", 1, 0);
-    Planner p(100, s.machines, {});
-    Request r = request(4, 2);
-    r.coLocated = true;
-    auto slots = p.place_gang(r, false);
+    Site site(4);  // zone 0: machines 0 and 2, zone 1: machines 1 and 3
+    site.caches[0].ready("img", 1, 0);
+    site.caches[1].ready("img", 1, 0);
+    site.caches[3].ready("img", 1, 0);
+    Planner planner(100, site.machines, {});
+    Request gang = request(4, 2);
+    gang.coLocated = true;
+    auto slots = planner.place_gang(gang, false);
     ASSERT_EQ(slots.size(), 2u);
-    for (const auto& slot : slots) EXPECT_EQ(s.machines[slot.machine].zone, 1u);
+    for (const auto& slot : slots) EXPECT_EQ(site.machines[slot.machine].zone, 1u);
 }
 
 // Small tasks fill up machines that are in use already, so that wide ones find whole machines; not at the price of a
 // fetch.
 TEST(Lem, SmallTasksArePackedWhereTheImageIs) {
     for (auto [warmEmpty, machine] : {std::pair(false, 1u), std::pair(true, 0u)}) {
-        Site s(2);
-        s.run(1, 200, {2, 0, 2});
+        Site site(2);
+        site.run(1, 200, {2, 0, 2});
         if (warmEmpty)
-            s.caches[0].ready("img", 1, 0);
+            site.caches[0].ready("img", 1, 0);
         else
-            for (auto& c : s.caches) c.ready("img", 1, 0);
+            for (auto& cache : site.caches) cache.ready("img", 1, 0);
         Weights weights;
         weights.emptyHostPenaltyS = 2;
-        Planner p(100, s.machines, weights);
-        Request r = request(2);
-        r.need = {2, 0, 2};
-        EXPECT_EQ(p.place_batch(r, false)[0].machine, machine);
+        Planner planner(100, site.machines, weights);
+        Request small = request(2);
+        small.need = {2, 0, 2};
+        EXPECT_EQ(planner.place_batch(small, false)[0].machine, machine);
     }
 }
 
 // A thousand full machines and a long queue: starts pass over whole kinds of machines instead of looking at each, and
 // one look serves all that follow. Counted in machines looked at, not in time.
 TEST(Lem, ALongQueueBehindFullMachinesLooksAtNone) {
-    Site s(1000);
-    for (int i = 0; i < 1000; ++i) s.run(i, 200);
-    s.machines[7].holds.clear();
-    Planner p(100, s.machines, {});
-    EXPECT_EQ(p.place_batch(request(1), true).size(), 1u);
-    auto first = p.looked();
+    Site site(1000);
+    for (int i = 0; i < 1000; ++i) site.run(i, 200);
+    site.machines[7].holds.clear();
+    Planner planner(100, site.machines, {});
+    EXPECT_EQ(planner.place_batch(request(1), true).size(), 1u);
+    auto first = planner.looked();
     EXPECT_LE(first, 1100u);
-    for (int job = 0; job < 500; ++job) EXPECT_TRUE(p.place_batch(request(1), true).empty());
-    EXPECT_LE(p.looked() - first, 1100u);
+    for (int job = 0; job < 500; ++job) EXPECT_TRUE(planner.place_batch(request(1), true).empty());
+    EXPECT_LE(planner.looked() - first, 1100u);
 }
 
 }  // namespace
