--- a/src/peers/packet.cpp
+++ b/src/peers/packet.cpp
@@ -5,75 +5,100 @@
 namespace wellstair::peers {
 namespace {
 
-// Bounds what a packet can ask to be read: a controller keeps fewer machines by far than its sockets would allow.
-constexpr std::size_t kMostHosts = 65536, kMostCancelled = 65536;
+// Bounds what a packet can ask to be read: far above the number of machines that a controller has sockets for.
+constexpr std::size_t kMaxHosts = 65536;
+constexpr std::size_t kMaxCancelled = 65536;
 
+constexpr double kMsPerS = 1000;
+constexpr double kMaxStoreAgeMs = 4e9;  // of what the 32 bits of the field hold
+
+// Cut off where the field ends; the last byte stays zero.
 template <std::size_t N>
-void put_text(char (&to)[N], const std::string& from) {
-    std::memcpy(to, from.data(), std::min(N - 1, from.size()));
+void put_text(char (&field)[N], const std::string& text) {
+    std::memcpy(field, text.data(), std::min(N - 1, text.size()));
 }
 
 template <std::size_t N>
-std::string get_text(const char (&from)[N]) {
-    return std::string(from, strnlen(from, N));
+std::string get_text(const char (&field)[N]) {
+    return std::string(field, strnlen(field, N));
+}
+
+template <class Struct>
+void append(std::string& bytes, const Struct& entry) {
+    bytes.append(reinterpret_cast<const char*>(&entry), sizeof entry);
+}
+
+// Takes the struct from the front of the bytes, which must be long enough.
+template <class Struct>
+Struct take(std::string_view& bytes) {
+    Struct entry;
+    std::memcpy(&entry, bytes.data(), sizeof entry);
+    bytes.remove_prefix(sizeof entry);
+    return entry;
+}
+
+PacketHeader header_of(const PeerStatus& status) {
+    PacketHeader header;
+    header.hosts = static_cast<std::uint32_t>(std::min(status.unusable.size(), kMaxHosts));
+    header.incarnation = status.incarnation;
+    header.storeAgeMs = static_cast<std::uint32_t>(std::clamp(status.storeAgeS * kMsPerS, 0.0, kMaxStoreAgeMs));
+    header.serving = status.serving;
+    header.cancelled = static_cast<std::uint32_t>(std::min(status.cancelled.size(), kMaxCancelled));
+    header.requestNumber = status.requestNumber;
+    // A list that was cut short acknowledges nothing.
+    const bool complete = header.cancelled == status.cancelled.size();
+    header.acknowledged = complete ? status.acknowledged : 0;
+    put_text(header.member, status.member);
+    return header;
 }
 
 }  // namespace
 
 std::string pack(const PeerStatus& peerStatus) {
-    PacketHeader h;
-    h.hosts = static_cast<std::uint32_t>(std::min(peerStatus.unusable.size(), kMostHosts));
-    h.incarnation = peerStatus.incarnation;
-    h.storeAgeMs = static_cast<std::uint32_t>(std::clamp(peerStatus.storeAgeS * 1000, 0.0, 4e9));
-    h.serving = peerStatus.serving;
-    h.cancelled = static_cast<std::uint32_t>(std::min(peerStatus.cancelled.size(), kMostCancelled));
-    h.requestNumber = peerStatus.requestNumber;
-    // A list that was cut short is no answer.
-    h.acknowledged = h.cancelled == peerStatus.cancelled.size() ? peerStatus.acknowledged : 0;
-    put_text(h.member, peerStatus.member);
-    std::string out(reinterpret_cast<const char*>(&h), sizeof h);
-    for (std::size_t i = 0; i < h.hosts; ++i) {
-        UnusableHostEntry e;
-        put_text(e.name, peerStatus.unusable[i].name);
-        e.unreachable = peerStatus.unusable[i].unreachable;
-        out.append(reinterpret_cast<const char*>(&e), sizeof e);
+    const PacketHeader header = header_of(peerStatus);
+    std::string bytes;
+    append(bytes, header);
+    for (std::size_t i = 0; i < header.hosts; ++i) {
+        UnusableHostEntry entry;
+        put_text(entry.name, peerStatus.unusable[i].name);
+        entry.unreachable = peerStatus.unusable[i].unreachable;
+        append(bytes, entry);
     }
-    for (std::size_t i = 0; i < h.cancelled; ++i) {
-        CancelledJob e;
-        put_text(e.id, peerStatus.cancelled[i]);
-        out.append(reinterpret_cast<const char*>(&e), sizeof e);
+    for (std::size_t i = 0; i < header.cancelled; ++i) {
+        CancelledJob entry;
+        put_text(entry.id, peerStatus.cancelled[i]);
+        append(bytes, entry);
     }
-    return out;
+    return bytes;
 }
 
 std::optional<std::size_t> packed_size(std::string_view bytes) {
     if (bytes.size() < sizeof(PacketHeader)) return std::nullopt;
-    PacketHeader h;
-    std::memcpy(&h, bytes.data(), sizeof h);
-    if (h.magic != kMagic || h.version != kVersion || h.hosts > kMostHosts || h.cancelled > kMostCancelled)
-        return std::nullopt;
-    return sizeof h + h.hosts * sizeof(UnusableHostEntry) + h.cancelled * sizeof(CancelledJob);
+    const auto header = take<PacketHeader>(bytes);
+    if (header.magic != kMagic || header.version != kVersion) return std::nullopt;
+    if (header.hosts > kMaxHosts || header.cancelled > kMaxCancelled) return std::nullopt;
+    return sizeof header + header.hosts * sizeof(UnusableHostEntry) + header.cancelled * sizeof(CancelledJob);
 }
 
 std::optional<PeerStatus> unpack(std::string_view bytes) {
     auto size = packed_size(bytes);
     if (!size || bytes.size() != *size) return std::nullopt;
-    PacketHeader h;
-    std::memcpy(&h, bytes.data(), sizeof h);
-    PeerStatus peerStatus{get_text(h.member), h.incarnation, h.storeAgeMs / 1000.0, h.serving != 0, {}};
-    for (std::size_t i = 0; i < h.hosts; ++i) {
-        UnusableHostEntry e;
-        std::memcpy(&e, bytes.data() + sizeof h + i * sizeof e, sizeof e);
-        peerStatus.unusable.push_back({get_text(e.name), e.unreachable != 0});
-    }
-    peerStatus.requestNumber = h.requestNumber, peerStatus.acknowledged = h.acknowledged;
-    for (std::size_t i = 0; i < h.cancelled; ++i) {
-        CancelledJob e;
-        std::memcpy(&e, bytes.data() + sizeof h + h.hosts * sizeof(UnusableHostEntry) + i * sizeof e, sizeof e);
-        peerStatus.cancelled.push_back(get_text(e.id));
+    const auto header = take<PacketHeader>(bytes);
+    PeerStatus status;
+    status.member = get_text(header.member);
+    status.incarnation = header.incarnation;
+    status.storeAgeS = header.storeAgeMs / kMsPerS;
+    status.serving = header.serving != 0;
+    status.requestNumber = header.requestNumber;
+    status.acknowledged = header.acknowledged;
+    for (std::size_t i = 0; i < header.hosts; ++i) {
+        const auto entry = take<UnusableHostEntry>(bytes);
+        status.unusable.push_back({get_text(entry.name), entry.unreachable != 0});
     }
-    peerStatus.sort();  // whatever the sender did
-    return peerStatus;
+    for (std::size_t i = 0; i < header.cancelled; ++i)
+        status.cancelled.push_back(get_text(take<CancelledJob>(bytes).id));
+    status.sort();
+    return status;
 }
 
 }  // namespace wellstair::peers
--- a/src/peers/packet.hpp
+++ b/src/peers/packet.hpp
@@ -1,6 +1,11 @@
-// What controllers tell one another: packed structs by hand. Peer status packets, on which safety never depends; and
-// each one's answer to the other's last question, with all cancellations that it knows to be confirmed, on which it
-// does (design.md).
+// What controllers tell one another: peer status packets, packed structs in the byte order of the machine (x86-64).
+//
+// Safety never depends on a packet's status fields, which are hints for planning. It does depend on the
+// acknowledgement: the answer to the receiver's last request, with all cancellations that the sender knows to be
+// confirmed (docs/design.md). Pure functions, safe from any thread; bytes that are no packet are returned as nothing.
+//
+// Layout: PacketHeader, then `hosts` times UnusableHostEntry, then `cancelled` times CancelledJob. Texts end at the
+// first zero byte or with their field.
 #pragma once
 
 #include <algorithm>
@@ -20,21 +25,24 @@
 struct PacketHeader {
     std::uint32_t magic = kMagic;
     std::uint16_t version = kVersion;
-    std::uint8_t serving = 0;  // the sender's member key stands
+    std::uint8_t serving = 0;  // 1: the sender's member key in the state service exists
     std::uint8_t unused = 0;
-    std::uint32_t hosts = 0;          // HostHint entries that follow
-    std::uint64_t incarnation = 0;    // of the sender
-    std::uint32_t storeAgeMs = 0;     // since the state service last answered the sender
+    std::uint32_t hosts = 0;          // UnusableHostEntry entries that follow
+    std::uint64_t incarnation = 0;    // of the sender's process
+    std::uint32_t storeAgeMs = 0;     // milliseconds since the state service last answered the sender
     std::uint32_t cancelled = 0;      // CancelledJob entries that follow the hosts
-    std::uint64_t requestNumber = 0;  // the sender's newest
-    std::uint64_t acknowledged = 0;   // the receiver's newest that the sender has heard; 0: it cannot answer now
-    char member[32] = {};
+    std::uint64_t requestNumber = 0;  // the sender's newest request for an acknowledgement
+    std::uint64_t acknowledged = 0;   // the receiver's newest request that the sender has heard; 0: cannot answer now
+    char member[32] = {};             // the sender's name
 };
 
-struct UnusableHostEntry {  // one of the sender's machines that cannot take work now
+// One of the sender's machines that cannot take work now.
+struct UnusableHostEntry {
     char name[31] = {};
-    std::uint8_t unreachable = 0;  // its heartbeats arrive, the sender's answers do not reach it
+    std::uint8_t unreachable = 0;  // 1: its heartbeats arrive, the sender's answers do not reach it
 };
+
+// A job whose cancellation was confirmed to its user.
 struct CancelledJob {
     char id[72] = {};
 };
@@ -42,40 +50,48 @@
 
 static_assert(sizeof(PacketHeader) == 76 && sizeof(UnusableHostEntry) == 32 && sizeof(CancelledJob) == 72);
 
+// A machine that cannot take work now.
 struct UnusableHost {
     std::string name;
-    bool unreachable = false;
+    bool unreachable = false;  // its heartbeats arrive, answers do not reach it
     bool operator==(const UnusableHost&) const = default;
 };
 
+// A packet's content.
 struct PeerStatus {
-    std::string member;
-    std::uint64_t incarnation = 0;
-    double storeAgeS = 0;
-    bool serving = false;
-    std::vector<UnusableHost> unusable{};  // by name: plans ask for each machine, and a dark zone lists hundreds
+    std::string member;                    // the sender's name
+    std::uint64_t incarnation = 0;         // of the sender's process
+    double storeAgeS = 0;                  // seconds since the state service last answered the sender
+    bool serving = false;                  // its member key in the state service exists
+    std::vector<UnusableHost> unusable{};  // by name: plans look up each machine, and a lost zone lists hundreds
 
-    std::uint64_t requestNumber = 0, acknowledged = 0;
-    std::vector<std::string> cancelled{};
+    std::uint64_t requestNumber = 0;       // the sender's newest request for an acknowledgement
+    std::uint64_t acknowledged = 0;        // the receiver's newest request that the sender has heard; 0: none
+    std::vector<std::string> cancelled{};  // ids of jobs whose cancellation is confirmed
 
+    // Brings `unusable` into the order that the functions below rely on.
     void sort() {
         std::sort(unusable.begin(), unusable.end(), [](const auto& a, const auto& b) { return a.name < b.name; });
     }
+    // Null if the host is usable as far as the sender knows.
     const UnusableHost* find(const std::string& host) const {
-        auto it = std::lower_bound(unusable.begin(), unusable.end(), host,
-                                   [](const UnusableHost& u, const std::string& name) { return u.name < name; });
+        auto it =
+            std::lower_bound(unusable.begin(), unusable.end(), host,
+                             [](const UnusableHost& entry, const std::string& name) { return entry.name < name; });
         return it != unusable.end() && it->name == host ? &*it : nullptr;
     }
+    // Whether the host is unusable.
     bool lists(const std::string& host) const { return find(host); }
     bool unreachable(const std::string& host) const {
-        const UnusableHost* u = find(host);
-        return u && u->unreachable;
+        const UnusableHost* entry = find(host);
+        return entry && entry->unreachable;
     }
 };
 
 std::string pack(const PeerStatus& peerStatus);
-// Length of the whole message that starts with this header; nothing if it is none of ours.
+// Length in bytes of the whole packet that starts with this header; nothing if it is none of this version.
 std::optional<std::size_t> packed_size(std::string_view header);
+// Nothing unless the bytes are exactly one packet. The result is sorted, whatever the sender did.
 std::optional<PeerStatus> unpack(std::string_view bytes);
 
 }  // namespace wellstair::peers
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,3 +1,4 @@
+// Packets between controllers, and what a controller may conclude from their acknowledgements.
 #include <gtest/gtest.h>
 
 #include "leadership/cancellation_read_barrier.hpp"
@@ -5,22 +6,23 @@
 
 using namespace wellstair::peers;
 
-TEST(Peers, HintsSurviveTheRoundTrip) {
-    PeerStatus h{"stairhost-1", 0x1234567890abcdefull, 1.25, true, {{"n-000001", false}, {"n-000017", true}}};
-    h.requestNumber = 0xfedcba9876543210ull, h.acknowledged = 17,
-    h.cancelled = {"j-000412", "j-" + std::string(62, '7')};
-    std::string bytes = pack(h);
+TEST(Peers, StatusSurvivesTheRoundTrip) {
+    PeerStatus sent{"stairhost-1", 0x1234567890abcdefull, 1.25, true, {{"n-000001", false}, {"n-000017", true}}};
+    sent.requestNumber = 0xfedcba9876543210ull;
+    sent.acknowledged = 17;
+    sent.cancelled = {"j-000412", "j-" + std::string(62, '7')};
+    std::string bytes = pack(sent);
     EXPECT_EQ(packed_size(bytes), bytes.size());
     auto again = unpack(bytes);
     ASSERT_TRUE(again);
-    EXPECT_EQ(again->member, h.member);
-    EXPECT_EQ(again->incarnation, h.incarnation);
+    EXPECT_EQ(again->member, sent.member);
+    EXPECT_EQ(again->incarnation, sent.incarnation);
     EXPECT_DOUBLE_EQ(again->storeAgeS, 1.25);
     EXPECT_TRUE(again->serving);
-    EXPECT_EQ(again->unusable, h.unusable);
-    EXPECT_EQ(again->requestNumber, h.requestNumber);
-    EXPECT_EQ(again->acknowledged, h.acknowledged);
-    EXPECT_EQ(again->cancelled, h.cancelled);
+    EXPECT_EQ(again->unusable, sent.unusable);
+    EXPECT_EQ(again->requestNumber, sent.requestNumber);
+    EXPECT_EQ(again->acknowledged, sent.acknowledged);
+    EXPECT_EQ(again->cancelled, sent.cancelled);
 }
 
 // What a controller learns from answers: as much as all of them have told, as of when it asked.
@@ -50,11 +52,11 @@
 // A zone that goes dark makes hundreds of machines unusable at once, all of a site's if need be: none is left out, or
 // the others would go on planning for it.
 TEST(Peers, EveryMachineOfALargeSiteHasRoom) {
-    PeerStatus h{"a", 1, 0, true, {}};
-    for (int i = 3000; i > 0; --i) h.unusable.push_back({"n-" + std::to_string(i), i % 2 == 0});
-    auto again = unpack(pack(h));
+    PeerStatus sent{"a", 1, 0, true, {}};
+    for (int i = 3000; i > 0; --i) sent.unusable.push_back({"n-" + std::to_string(i), i % 2 == 0});
+    auto again = unpack(pack(sent));
     ASSERT_TRUE(again);
-    for (const auto& u : h.unusable) {
+    for (const auto& u : sent.unusable) {
         EXPECT_TRUE(again->lists(u.name));
         EXPECT_EQ(again->unreachable(u.name), u.unreachable);
     }
