--- a/tests/availability_test.cpp
+++ b/tests/availability_test.cpp
@@ -1,4 +1,5 @@
-// What a controller makes of what it hears: its standing and its health.
+// The availability of a controller and its answer to health checks, by what it hears of the state service and its
+// peers.
 #include "leadership/availability.hpp"
 
 #include <gtest/gtest.h>
@@ -11,17 +12,17 @@
 constexpr AvailabilityLimits kLimits{45, 20};
 
 AvailabilitySignals signals(double storeAgeS, bool peerHeard, bool peerHasStore) {
-    AvailabilitySignals h;
-    h.registered = h.hasPeers = true;
-    h.storeAgeS = h.stateReadAgeS = storeAgeS, h.peerHeard = peerHeard, h.peerHasStore = peerHasStore;
-    return h;
+    AvailabilitySignals heard;
+    heard.registered = heard.hasPeers = true;
+    heard.storeAgeS = heard.stateReadAgeS = storeAgeS, heard.peerHeard = peerHeard, heard.peerHasStore = peerHasStore;
+    return heard;
 }
 
 TEST(Availability, AnOutageThatEverybodyHasIsSatOut) {
-    AvailabilitySignals h = signals(5, true, false);
-    EXPECT_EQ(next_availability(Availability::serving, h, kLimits), Availability::disconnected);
-    h.disconnectedS = 20;
-    EXPECT_TRUE(healthy(Availability::disconnected, true, h, kLimits));
+    AvailabilitySignals heard = signals(5, true, false);
+    EXPECT_EQ(next_availability(Availability::serving, heard, kLimits), Availability::disconnected);
+    heard.disconnectedS = 20;
+    EXPECT_TRUE(healthy(Availability::disconnected, true, heard, kLimits));
 }
 
 TEST(Availability, OneThatAloneIsRefusedLetsGo) {
@@ -32,10 +33,10 @@
 // Without store and peers it cannot tell an outage from a cut: it goes on answering its machines, but users are sent
 // elsewhere soon, and it lets go while a cancellation told elsewhere can still end in time.
 TEST(Availability, WithoutStoreAndPeersUsersAreSentElsewhereSoonAndItLetsGoInTime) {
-    AvailabilitySignals h = signals(3, false, false);
-    EXPECT_EQ(next_availability(Availability::serving, h, kLimits), Availability::disconnected);
-    h.disconnectedS = 1.5;
-    EXPECT_FALSE(healthy(Availability::disconnected, true, h, kLimits));
+    AvailabilitySignals heard = signals(3, false, false);
+    EXPECT_EQ(next_availability(Availability::serving, heard, kLimits), Availability::disconnected);
+    heard.disconnectedS = 1.5;
+    EXPECT_FALSE(healthy(Availability::disconnected, true, heard, kLimits));
     EXPECT_EQ(next_availability(Availability::disconnected, signals(23.5, false, false), kLimits),
               Availability::disconnected);
     // Its machines' leases of 20 s, and their drift, then end before cancel_s is over.
@@ -71,30 +72,30 @@
         {isolated, true, 5, true, isolated, isolated},
         {joining, true, 5, false, joining, joining},  // answers nobody either
     };
-    for (const Row& r : rows) {
-        AvailabilitySignals h = signals(r.storeAgeS, true, r.peerHasStore);
-        h.registered = r.registered;
-        h.stateReadAgeS = answer_window(kLimits) - 0.01;
-        EXPECT_EQ(next_availability(r.before, h, kLimits), r.inside) << &r - rows;
-        h.stateReadAgeS = answer_window(kLimits) + 0.01;
-        EXPECT_EQ(next_availability(r.before, h, kLimits), r.outside) << &r - rows;
+    for (const Row& row : rows) {
+        AvailabilitySignals heard = signals(row.storeAgeS, true, row.peerHasStore);
+        heard.registered = row.registered;
+        heard.stateReadAgeS = answer_window(kLimits) - 0.01;
+        EXPECT_EQ(next_availability(row.before, heard, kLimits), row.inside) << &row - rows;
+        heard.stateReadAgeS = answer_window(kLimits) + 0.01;
+        EXPECT_EQ(next_availability(row.before, heard, kLimits), row.outside) << &row - rows;
     }
 }
 
 // A controller by itself cannot be apart from others.
 TEST(Availability, TheOnlyControllerStaysHealthyInAnOutage) {
-    AvailabilitySignals h = signals(5, false, false);
-    h.hasPeers = false, h.disconnectedS = 10;
-    EXPECT_TRUE(healthy(Availability::disconnected, true, h, kLimits));
+    AvailabilitySignals heard = signals(5, false, false);
+    heard.hasPeers = false, heard.disconnectedS = 10;
+    EXPECT_TRUE(healthy(Availability::disconnected, true, heard, kLimits));
 }
 
 // Its lease is renewed, but no read succeeds: every question would fail, and a job that nobody answers for is
 // forgotten.
 TEST(Availability, OneThatCanAnswerNothingDoesNotStayHealthy) {
-    AvailabilitySignals h = signals(0.1, true, true);
-    EXPECT_TRUE(healthy(Availability::serving, true, h, kLimits));
-    h.readFailedS = 5;
-    EXPECT_FALSE(healthy(Availability::serving, true, h, kLimits));
+    AvailabilitySignals heard = signals(0.1, true, true);
+    EXPECT_TRUE(healthy(Availability::serving, true, heard, kLimits));
+    heard.readFailedS = 5;
+    EXPECT_FALSE(healthy(Availability::serving, true, heard, kLimits));
     EXPECT_FALSE(healthy(Availability::serving, false, signals(0.1, true, true), kLimits));
 }
 
--- a/tests/connection_quota_test.cpp
+++ b/tests/connection_quota_test.cpp
@@ -1,3 +1,4 @@
+// The shares of users and workers in the sockets of a controller.
 #include "api/connection_quota.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +7,7 @@
 
 // One controller is left for all machines of a site half as large again as its sockets were dealt for: users keep a
 // part, workers the rest, and each may use what the other leaves.
-TEST(Front, NeitherWorkersNorUsersShutTheOthersOut) {
+TEST(ConnectionQuota, NeitherWorkersNorUsersShutTheOthersOut) {
     ConnectionQuota quota(1000);
     for (int i = 0; i < 1000; ++i) quota.acquire(Caller::worker);
     EXPECT_TRUE(quota.full());
