--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 
 #include "config/settings.hpp"
-#include "controller/service.hpp"
+#include "service/service.hpp"
 
 using namespace wellstair;
 
@@ -66,7 +66,7 @@
     set_up_log();
     try {
         boost::asio::io_context io(1);
-        controller::Service service(io, settings, tunables);
+        service::Service service(io, settings, tunables);
         service.start();
         spdlog::info("{} listens on {}:{}", settings.member, settings.front.host, settings.front.port);
         io.run();
--- /dev/null
+++ b/src/service/answers.cpp
@@ -0,0 +1,47 @@
+#include "service/answers.hpp"
+
+namespace wellstair::service {
+
+namespace {
+
+constexpr double kRetryAfterS = 1;
+
+controller::Answer phase_answer(int status, const std::string& id, const char* phase) {
+    return {status, {{"ref", id}, {"phase", phase}}, 0};
+}
+
+}  // namespace
+
+api::Response refusal(int status, const std::string& reason) {
+    return {status, {{"error", reason}}, 0, ""};
+}
+
+api::Response unavailable(const char* reason) {
+    return {503, {{"error", reason}}, kRetryAfterS, ""};
+}
+
+api::Response redirect(const std::string& leader) {
+    return {421, {{"foreman", leader}}, 0, ""};
+}
+
+api::Response commands_reply(std::uint64_t fencingToken, const std::vector<wire::Command>& commands) {
+    return {200, {{"baton", fencingToken}, {"orders", to_json(commands)}}, 0, ""};
+}
+
+api::Response to_response(const controller::Answer& answer) {
+    return {answer.status, answer.body, answer.retryAfterS, ""};
+}
+
+controller::Answer submitted_answer(const std::string& id) {
+    return phase_answer(201, id, "queued");
+}
+
+controller::Answer cancelled_answer(const std::string& id) {
+    return phase_answer(200, id, "aborted");
+}
+
+controller::Answer unavailable_answer(const char* reason) {
+    return {503, {{"error", reason}}, kRetryAfterS};
+}
+
+}  // namespace wellstair::service
--- /dev/null
+++ b/src/service/command_sender.cpp
@@ -0,0 +1,42 @@
+#include "service/command_sender.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+namespace wellstair::service {
+
+namespace {
+constexpr double kTimeoutPerHeartbeatInterval = 0.6;  // the next heartbeat brings the command again
+}  // namespace
+
+void CommandSender::send_due() {
+    controller::Core& core = context_.core;
+    for (auto& [host, commands] : core.commands_due(now())) {
+        if (!channels_.make_ready(host)) continue;
+        const auto* record = core.state().host(host);
+        const auto* tracker = core.tracker(host);
+        core.commands_sent(host, commands, now());
+        Delivery delivery;
+        delivery.host = host;
+        delivery.address = tracker->address;
+        delivery.fencingToken = record->fencingToken;
+        delivery.agentEpoch = tracker->agentEpoch;
+        delivery.commands = std::move(commands);
+        spawn(context_.io, send(std::move(delivery)));
+    }
+}
+
+asio::awaitable<void> CommandSender::send(Delivery delivery) {
+    controller::Core& core = context_.core;
+    const double timeoutS = context_.settings.heartbeatIntervalS * kTimeoutPerHeartbeatInterval;
+    auto result = co_await channels_.command(delivery.host, delivery.address, delivery.fencingToken,
+                                             delivery.agentEpoch, delivery.commands, timeoutS);
+    if (result.heartbeat && result.heartbeat->host == delivery.host)
+        core.handle_command_reply(*result.heartbeat, now());
+    core.commands_answered(delivery.host, delivery.commands, result.answered, delivery.fencingToken);
+    if (!result.answered) spdlog::info("no answer from {} to {} commands", delivery.host, delivery.commands.size());
+    context_.signals.roundDue.notify();
+}
+
+}  // namespace wellstair::service
--- /dev/null
+++ b/src/service/heartbeat_api.cpp
@@ -0,0 +1,45 @@
+#include "service/heartbeat_api.hpp"
+
+#include <algorithm>
+
+#include "service/answers.hpp"
+
+namespace wellstair::service {
+
+using controller::HeartbeatResponse;
+
+namespace {
+
+constexpr double kRegistrationWaitS = 2.5;  // the worker gives up after 4 s
+constexpr double kRecheckS = 0.5;
+
+}  // namespace
+
+asio::awaitable<api::Response> HeartbeatApi::heartbeat(std::string bytes) {
+    auto body = wire::decode(bytes);
+    auto heartbeat = body ? wire::parse_heartbeat(*body) : std::nullopt;
+    if (!heartbeat) co_return refusal(400, "not a report");
+    // A process that was suspended answers what has queued up meanwhile before any of its timers: whether it may still
+    // act for the controllers is judged first, by the clock as it is now.
+    availability_.update();
+    const double untilS = net::steady_now() + kRegistrationWaitS;
+    for (;;) {
+        HeartbeatResponse response = context_.core.handle_heartbeat(*heartbeat, now());
+        if (context_.core.round_due()) context_.signals.roundDue.notify();
+        switch (response.kind) {
+            case HeartbeatResponse::Kind::renewed:
+                co_return commands_reply(response.token, response.commands);
+            case HeartbeatResponse::Kind::redirect:
+                co_return redirect(response.leader);
+            case HeartbeatResponse::Kind::refuse:
+                co_return unavailable("not entitled to act for the controllers now");
+            case HeartbeatResponse::Kind::acquiring:
+                break;
+        }
+        const double leftS = untilS - net::steady_now();
+        if (leftS <= 0) co_return unavailable("the registration of the host is not durable yet");
+        co_await context_.signals.stateChanged.wait(std::min(leftS, kRecheckS));
+    }
+}
+
+}  // namespace wellstair::service
--- /dev/null
+++ b/src/service/peer_status_exchange.cpp
@@ -0,0 +1,33 @@
+#include "service/peer_status_exchange.hpp"
+
+namespace wellstair::service {
+
+namespace {
+constexpr double kOwnStatusValidS = 0.3;  // packets go out twice a second
+}  // namespace
+
+peers::PeerStatus PeerStatusExchange::own_status(const std::string& receiver) {
+    controller::Core& core = context_.core;
+    // Put together once for all who are told in the same moment: it looks at every machine.
+    if (net::steady_now() - ownStatusAtS_ > kOwnStatusValidS) {
+        ownStatusAtS_ = net::steady_now();
+        ownStatus_ = core.own_peer_status(0, now());
+        ownStatus_.requestNumber = cancellationBarrier_.next_request(net::steady_now());
+    }
+    ownStatus_.storeAgeS = net::steady_now() - store_.last_ok();
+    ownStatus_.serving = core.availability() == state::Availability::serving;
+    // The answer and the cancellations that it vouches for are of one moment. Without a cached state there is no
+    // answer.
+    ownStatus_.acknowledged = core.state_ready() ? newestRequests_[receiver] : 0;
+    ownStatus_.cancelled = core.cancellations();
+    return ownStatus_;
+}
+
+void PeerStatusExchange::receive(const peers::PeerStatus& status) {
+    context_.core.record_cancellations(status.cancelled);
+    newestRequests_[status.member] = status.requestNumber;
+    cancellationBarrier_.acknowledge(status.member, status.incarnation, status.acknowledged);
+    context_.core.set_peer_status(status, now());
+}
+
+}  // namespace wellstair::service
--- /dev/null
+++ b/src/service/periodic_checks.cpp
@@ -0,0 +1,32 @@
+#include "service/periodic_checks.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <string>
+
+namespace wellstair::service {
+
+namespace {
+constexpr double kIntervalS = 0.25;
+constexpr double kStatisticsIntervalS = 60;
+}  // namespace
+
+asio::awaitable<void> PeriodicChecks::run() {
+    for (;;) {
+        co_await net::sleep_for(context_.io, kIntervalS);
+        availability_.update();
+        committer_.follow_limits();
+        log_statistics();
+        // Connections to machines that are gone, or led elsewhere, would use up the sockets in the long run.
+        channels_.prune([this](const std::string& host) { return context_.core.tracker(host) != nullptr; });
+    }
+}
+
+void PeriodicChecks::log_statistics() {
+    if (net::steady_now() - loggedAtS_ < kStatisticsIntervalS) return;
+    loggedAtS_ = net::steady_now();
+    auto& statistics = context_.core.heartbeat_statistics();
+    if (!statistics.empty()) spdlog::info(statistics.take_summary());
+}
+
+}  // namespace wellstair::service
--- /dev/null
+++ b/src/service/read_barrier.cpp
@@ -0,0 +1,78 @@
+#include "service/read_barrier.hpp"
+
+namespace wellstair::service {
+
+using store::FollowResult;
+
+namespace {
+
+constexpr double kIdleReadS = 0.5;        // without anybody asking, a read is sent so often
+constexpr double kLeastPauseS = 0.001;    // between two reads
+constexpr double kStreamLatencyS = 0.01;  // the followed changes usually bring our own write within this time
+
+}  // namespace
+
+asio::awaitable<void> ReadBarrier::run() {
+    const double leastS = least_read_interval(context_.settings);
+    for (;;) {
+        if (!read_wanted()) {
+            co_await asked_.wait(kIdleReadS);
+            // Following the changes alone would not notice a state service that is gone.
+            if (!read_wanted() && net::steady_now() - reader_.last_read_s() < kIdleReadS) continue;
+        }
+        const double beganS = net::steady_now();
+        started_ = wanted_;
+        const std::uint64_t number = started_;
+        if (context_.core.state_ready())
+            co_await read(number, beganS);
+        else
+            failed_ = number;
+        done_.notify();
+        const double tookS = net::steady_now() - beganS;
+        co_await net::sleep_for(context_.io, std::max(kLeastPauseS, leastS - tookS));
+    }
+}
+
+asio::awaitable<void> ReadBarrier::read(std::uint64_t number, double beganS) {
+    controller::Core& core = context_.core;
+    const std::uint64_t loadCount = reader_.load_count();
+    auto result = co_await store_.follow(state::keys::kPrefix, core.state().revision(), 0, kStoreTimeoutS);
+    if (loadCount != reader_.load_count()) result.kind = FollowResult::Kind::failed;
+    if (result.kind == FollowResult::Kind::ok) {
+        reader_.apply(result);
+        succeeded_ = number;
+        failedSinceS_ = 0;
+        co_return;
+    }
+    if (failedSinceS_ == 0) failedSinceS_ = beganS;
+    if (result.kind == FollowResult::Kind::gone) core.set_state_ready(false);
+    failed_ = number;
+}
+
+asio::awaitable<bool> ReadBarrier::wait(double timeoutS) {
+    const double untilS = net::steady_now() + timeoutS;
+    // The read that is under way was sent before this call: it takes the next.
+    wanted_ = std::max(wanted_, started_ + 1);
+    const std::uint64_t number = wanted_;
+    asked_.notify();
+    while (succeeded_ < number) {
+        if (failed_ >= number) co_return false;
+        const double leftS = untilS - net::steady_now();
+        if (leftS <= 0) co_return false;
+        co_await done_.wait(leftS);
+    }
+    co_return true;
+}
+
+asio::awaitable<bool> ReadBarrier::wait_for_revision(std::uint64_t revision, double timeoutS) {
+    const double untilS = net::steady_now() + timeoutS;
+    controller::Core& core = context_.core;
+    if (core.state().revision() < revision) co_await context_.signals.stateChanged.wait(kStreamLatencyS);
+    while (core.state().revision() < revision) {
+        if (net::steady_now() > untilS) co_return false;
+        co_await wait(untilS - net::steady_now());
+    }
+    co_return true;
+}
+
+}  // namespace wellstair::service
--- /dev/null
+++ b/src/service/user_api.cpp
@@ -0,0 +1,87 @@
+#include "service/user_api.hpp"
+
+#include <utility>
+
+#include "service/answers.hpp"
+
+namespace wellstair::service {
+
+using api::Response;
+
+// The cached state holds everything that was confirmed to anybody up to now.
+asio::awaitable<bool> UserApi::state_is_current() {
+    availability_.update();
+    if (context_.core.availability() != state::Availability::serving) co_return false;
+    const bool current = co_await readBarrier_.wait(kUserTimeoutS);
+    co_return current;
+}
+
+// What a repeated submission of the job is answered with; nothing if the job is not known.
+asio::awaitable<std::optional<Response>> UserApi::repeat_answer(std::string id) {
+    const bool current = co_await state_is_current();
+    if (!current) co_return unavailable(kStoreDoesNotAnswer);
+    if (auto known = context_.core.known(id)) co_return to_response(*known);
+    co_return std::nullopt;
+}
+
+asio::awaitable<Response> UserApi::submit(std::string bytes) {
+    auto body = wire::decode(bytes);
+    if (!body) co_return refusal(400, "the body must be MessagePack without binary data");
+    if (!body->is_object()) co_return refusal(400, "the body must be a map");
+    auto parsed = wire::parse_job(*body);
+    std::optional<Response> refused = objection(parsed);
+    if (refused) co_return co_await refuse(std::move(*body), std::move(*refused));
+    co_return co_await accept(std::get<wire::JobSpec>(std::move(parsed)));
+}
+
+// Why the submission cannot be accepted; nothing if it can.
+std::optional<Response> UserApi::objection(const ParsedJob& parsed) const {
+    if (auto* invalid = std::get_if<wire::Invalid>(&parsed)) return refusal(400, invalid->reason);
+    bool unsure = false;
+    auto never = context_.core.never_runs(std::get<wire::JobSpec>(parsed), unsure);
+    if (never) return refusal(422, *never);
+    if (unsure) return unavailable("the machine types are not known yet");
+    return std::nullopt;
+}
+
+// Refuses a submission, unless it repeats one that was accepted.
+asio::awaitable<Response> UserApi::refuse(wire::Json body, Response refusal) {
+    auto id = wire::text(body, "ref");
+    if (id && wire::valid_job_ref(*id)) {
+        auto repeat = co_await repeat_answer(*id);
+        if (repeat) co_return *repeat;
+    }
+    co_return refusal;
+}
+
+asio::awaitable<Response> UserApi::accept(wire::JobSpec spec) {
+    controller::Core& core = context_.core;
+    if (core.state().final(spec.id)) co_return to_response(*core.known(spec.id));
+    if (core.state().job(spec.id)) {
+        auto repeat = co_await repeat_answer(spec.id);
+        if (repeat) co_return *repeat;
+    }
+    controller::Answer answer = co_await queue_.submit(std::move(spec));
+    co_return to_response(answer);
+}
+
+asio::awaitable<Response> UserApi::poll(std::string id) {
+    controller::Core& core = context_.core;
+    if (core.state().final(id)) co_return to_response(core.poll(id));
+    const bool current = co_await state_is_current();
+    if (!current) co_return unavailable(kStoreDoesNotAnswer);
+    co_return to_response(core.poll(id));
+}
+
+asio::awaitable<Response> UserApi::cancel(std::string id) {
+    controller::Core& core = context_.core;
+    if (core.state().final(id)) co_return to_response(core.poll(id));
+    const bool current = co_await state_is_current();
+    if (!current) co_return unavailable(kStoreDoesNotAnswer);
+    auto* job = core.state().job(id);
+    if (!job || job->state != state::JobState::active) co_return to_response(core.poll(id));
+    controller::Answer answer = co_await queue_.cancel(std::move(id));
+    co_return to_response(answer);
+}
+
+}  // namespace wellstair::service
--- /dev/null
+++ b/src/service/user_request_queue.cpp
@@ -0,0 +1,169 @@
+#include "service/user_request_queue.hpp"
+
+#include <utility>
+
+#include "service/answers.hpp"
+
+namespace wellstair::service {
+
+using controller::Answer;
+using store::Outcome;
+
+namespace {
+
+constexpr double kIdleS = 1;  // looks at the queue at least so often
+constexpr double kDeadlineS = 2 * kUserTimeoutS;
+constexpr double kBusyRetryS = 0.08;  // the rate is refilled within a second: sooner than the user's own retry
+
+std::int64_t wall_seconds() {
+    return static_cast<std::int64_t>(net::wall_now());
+}
+
+}  // namespace
+
+asio::awaitable<Answer> UserRequestQueue::submit(wire::JobSpec spec) {
+    auto request = std::make_shared<Request>();
+    request->kind = Request::Kind::submit;
+    request->id = spec.id;
+    request->spec = std::move(spec);
+    co_return co_await enqueue(std::move(request));
+}
+
+asio::awaitable<Answer> UserRequestQueue::cancel(std::string id) {
+    auto request = std::make_shared<Request>();
+    request->kind = Request::Kind::cancel;
+    request->id = std::move(id);
+    co_return co_await enqueue(std::move(request));
+}
+
+asio::awaitable<Answer> UserRequestQueue::enqueue(RequestPtr request) {
+    request->deadlineS = net::steady_now() + kDeadlineS;
+    waiting_.push_back(request);
+    requestAdded_.notify();
+    while (!request->answer) co_await context_.signals.stateChanged.wait(1);
+    co_return *request->answer;
+}
+
+asio::awaitable<void> UserRequestQueue::run() {
+    for (;;) {
+        if (waiting_.empty()) {
+            co_await requestAdded_.wait(kIdleS);
+            continue;
+        }
+        if (!accepting()) {
+            refuse_all();
+            continue;
+        }
+        state::TransactionBuilder builder = context_.core.new_transaction();
+        Sorted sorted = sort(builder);
+        waiting_ = std::move(sorted.rest);
+        if (!sorted.known.empty()) co_await check_known(std::move(sorted.known));
+        if (sorted.batch.empty())
+            context_.signals.stateChanged.notify();
+        else
+            co_await commit(builder.build(), std::move(sorted.batch));
+    }
+}
+
+bool UserRequestQueue::accepting() const {
+    const controller::Core& core = context_.core;
+    return core.availability() == state::Availability::serving && core.member_revision() && core.state_ready();
+}
+
+void UserRequestQueue::refuse_all() {
+    for (auto& request : waiting_) request->answer = unavailable_answer(kStoreDoesNotAnswer);
+    waiting_.clear();
+    context_.signals.stateChanged.notify();
+}
+
+// Answers what needs no transaction, and adds to the transaction what has room in it.
+UserRequestQueue::Sorted UserRequestQueue::sort(state::TransactionBuilder& builder) {
+    Sorted sorted;
+    for (auto& request : waiting_) {
+        if (request->kind == Request::Kind::submit)
+            sort_submission(builder, request, sorted);
+        else
+            sort_cancellation(builder, request, sorted);
+    }
+    return sorted;
+}
+
+void UserRequestQueue::sort_submission(state::TransactionBuilder& builder, const RequestPtr& request, Sorted& sorted) {
+    controller::Core& core = context_.core;
+    if (auto known = core.known(request->id)) {
+        // The cached state may be older than what another controller has told the user already.
+        if (request->current || core.state().final(request->id))
+            request->answer = known;
+        else
+            sorted.known.push_back(request);
+    } else if (builder.submit(request->spec, context_.settings.member, wall_seconds())) {
+        sorted.batch.push_back(request);
+    } else {
+        sorted.rest.push_back(request);
+    }
+}
+
+void UserRequestQueue::sort_cancellation(state::TransactionBuilder& builder, const RequestPtr& request,
+                                         Sorted& sorted) {
+    controller::Core& core = context_.core;
+    auto* job = core.state().job(request->id);
+    if (!job || job->state != state::JobState::active)
+        request->answer = core.poll(request->id);
+    else if (builder.cancel(*job, wall_seconds()))
+        sorted.batch.push_back(request);
+    else
+        sorted.rest.push_back(request);
+}
+
+asio::awaitable<void> UserRequestQueue::check_known(Requests known) {
+    const bool current = co_await readBarrier_.wait(kStoreTimeoutS);
+    for (auto& request : known) {
+        request->current = current;
+        if (current)
+            waiting_.push_back(request);
+        else
+            request->answer = unavailable_answer(kStoreDoesNotAnswer);
+    }
+}
+
+asio::awaitable<void> UserRequestQueue::commit(state::Transaction transaction, Requests batch) {
+    auto result = co_await committer_.commit(TransactionSource::users, transaction);
+    if (result.outcome == Outcome::applied) {
+        confirm(batch);
+        reader_.apply_own(transaction, result.revision);
+        context_.signals.stateChanged.notify();
+        co_await readBarrier_.wait_for_revision(result.revision, kStoreTimeoutS);
+    } else {
+        co_await retry_or_refuse(result.outcome, std::move(batch));
+        context_.signals.stateChanged.notify();
+    }
+}
+
+void UserRequestQueue::confirm(const Requests& batch) {
+    // Before anyone is told: what is confirmed here is told to the controllers that ask from now on, also while the own
+    // cached state does not show it yet.
+    std::vector<std::string> cancelled;
+    for (auto& request : batch)
+        if (request->kind == Request::Kind::cancel) cancelled.push_back(request->id);
+    context_.core.record_cancellations(cancelled);
+    for (auto& request : batch)
+        request->answer =
+            request->kind == Request::Kind::submit ? submitted_answer(request->id) : cancelled_answer(request->id);
+}
+
+asio::awaitable<void> UserRequestQueue::retry_or_refuse(Outcome outcome, Requests batch) {
+    bool again = outcome == Outcome::conflict || outcome == Outcome::unknown;
+    if (again) again = co_await readBarrier_.wait(kStoreTimeoutS);
+    if (outcome == Outcome::busy) {
+        co_await net::sleep_for(context_.io, net::jitter(kBusyRetryS));
+        for (auto& request : batch) again = again || !std::exchange(request->retried, true);
+    }
+    for (auto& request : batch) {
+        if (again && net::steady_now() < request->deadlineS)
+            waiting_.push_back(request);
+        else
+            request->answer = unavailable_answer("the state service does not take it now");
+    }
+}
+
+}  // namespace wellstair::service
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -13,6 +13,26 @@
 constexpr double kFairPart = 0.9;
 }  // namespace
 
+const char* to_string(Outcome outcome) {
+    switch (outcome) {
+        case Outcome::applied:
+            return "applied";
+        case Outcome::conflict:
+            return "conflict";
+        case Outcome::no_lease:
+            return "no lease";
+        case Outcome::busy:
+            return "busy";
+        case Outcome::unavailable:
+            return "unavailable";
+        case Outcome::unknown:
+            return "unknown";
+        case Outcome::malformed:
+            return "malformed";
+    }
+    return "";
+}
+
 RateLimiter::RateLimiter(double total, int members, double now)
     : members_(members),
       total_(total),
@@ -146,9 +166,9 @@
     co_return out;
 }
 
-asio::awaitable<std::optional<std::pair<std::uint64_t, std::uint64_t>>> Client::read_all(
-    const std::string& prefix, std::function<void(const Change&)> each) {
-    std::uint64_t first = 0, last = 0;
+asio::awaitable<std::optional<RevisionRange>> Client::read_all(const std::string& prefix,
+                                                               std::function<void(const Change&)> each) {
+    RevisionRange range;
     std::string since;
     for (;;) {
         std::string target = "/keys?prefix=" + prefix + "&page=1000" + (since.empty() ? "" : "&since=" + since);
@@ -156,8 +176,8 @@
         if (!r.ok()) co_return std::nullopt;
         auto body = wire::decode(r.body);
         if (!body) co_return std::nullopt;
-        last = wire::count(*body, "epoch").value_or(0);
-        if (!first) first = last;
+        range.last = wire::count(*body, "epoch").value_or(0);
+        if (!range.first) range.first = range.last;
         if (const Json* pairs = wire::list(*body, "pairs"))
             for (const Json& e : *pairs) {
                 since = e.value("path", "");
@@ -169,7 +189,7 @@
             }
         if (!wire::flag(*body, "hasNext").value_or(false)) break;
     }
-    co_return std::pair(first, last);
+    co_return range;
 }
 
 asio::awaitable<std::optional<std::uint64_t>> Client::grant(double ttlS, double timeoutS) {
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -30,6 +30,7 @@
 };
 
 enum class Outcome { applied, conflict, no_lease, busy, unavailable, unknown, malformed };
+const char* to_string(Outcome outcome);
 
 struct CommitResult {
     Outcome outcome = Outcome::unknown;
@@ -50,6 +51,10 @@
     double sentS = -1e9;  // steady time at which it was asked for: what it tells is no older than that
 };
 
+struct RevisionRange {
+    std::uint64_t first = 0, last = 0;
+};
+
 class Client {
   public:
     Client(asio::io_context& io, const config::Settings& settings);
@@ -57,8 +62,8 @@
     asio::awaitable<CommitResult> commit(const Json& transaction, int writes, double timeoutS);
     asio::awaitable<FollowResult> follow(const std::string& prefix, std::uint64_t since, double waitS, double timeoutS);
     // All keys below the prefix; `epoch` is of the first page, where the watch has to begin. Nothing on failure.
-    asio::awaitable<std::optional<std::pair<std::uint64_t, std::uint64_t>>> read_all(
-        const std::string& prefix, std::function<void(const Change&)> each);
+    asio::awaitable<std::optional<RevisionRange>> read_all(const std::string& prefix,
+                                                           std::function<void(const Change&)> each);
     asio::awaitable<std::optional<std::uint64_t>> grant(double ttlS, double timeoutS);
     enum class Renewal { renewed, ended, failed };
     asio::awaitable<Renewal> renew(std::uint64_t leaseId, double timeoutS);
--- /dev/null
+++ b/tests/service_user_test.cpp
@@ -0,0 +1,119 @@
+// Users' requests, from the body to the answer, against a stand-in of the state service.
+#include "service_fixture.hpp"
+
+namespace wellstair::test {
+namespace {
+
+using api::Response;
+using wire::Json;
+
+constexpr const char* kJob = "j-000412";
+
+Json job_body(double cores = 1) {
+    return {{"ref", kJob},      {"lane", "train"},   {"crew", "red"},    {"shape", "batch"}, {"rank", "standard"},
+            {"steps", 2},       {"cores", cores},    {"gpus", 0.0},      {"ramGb", 4.0},     {"bundle", "img-07"},
+            {"imageGb", 1.5},   {"together", false}, {"scatter", false}, {"loaners", true},  {"expectS", 60.0},
+            {"snapshotS", 0.0}, {"flushS", 0.0}};
+}
+
+class UserRequests : public ServiceFixture {
+  protected:
+    Response submit(const Json& body) { return answer(userApi.submit(wire::encode(body))); }
+    Response poll(const char* id) { return answer(userApi.poll(id)); }
+    Response cancel(const char* id) { return answer(userApi.cancel(id)); }
+    Response answer(asio::awaitable<Response> request) {
+        auto response = run_to_end(io, std::move(request));
+        EXPECT_TRUE(response);
+        return response.value_or(Response{0, {}, 0, ""});
+    }
+};
+
+TEST_F(UserRequests, SubmitsOnceAndConfirmsTheRepeat) {
+    start_serving();
+    EXPECT_EQ(submit(job_body()).status, 201);
+    const Response repeat = submit(job_body());
+    EXPECT_EQ(repeat.status, 200);
+    EXPECT_EQ(repeat.body["phase"], "queued");
+    EXPECT_EQ(store.writes_of(state::keys::job(kJob)), 1);
+}
+
+TEST_F(UserRequests, ConfirmsARepeatInTheSameBatchWithOneWrite) {
+    start_serving();
+    std::vector<int> statuses;
+    for (int i = 0; i < 3; ++i)
+        asio::co_spawn(io, userApi.submit(wire::encode(job_body())),
+                       [&](const std::exception_ptr&, const Response& r) { statuses.push_back(r.status); });
+    ASSERT_TRUE(run_until(io, [&] { return statuses.size() == 3; }));
+    EXPECT_EQ(statuses, std::vector<int>(3, 201));
+    EXPECT_EQ(store.writes_of(state::keys::job(kJob)), 1);
+}
+
+TEST_F(UserRequests, AnAcceptedJobIsNotRefusedByAMalformedRepeat) {
+    start_serving();
+    EXPECT_EQ(submit(job_body()).status, 201);
+    Json repeat = job_body();
+    repeat["steps"] = "two";
+    EXPECT_EQ(submit(repeat).status, 200);
+    EXPECT_EQ(submit(job_body(1000)).status, 200);
+    repeat["ref"] = "j-000999";
+    EXPECT_EQ(submit(repeat).status, 400);
+}
+
+TEST_F(UserRequests, RefusesAJobThatCanNeverRun) {
+    start_serving();
+    EXPECT_EQ(submit(job_body(1000)).status, 422);
+    EXPECT_EQ(store.writes_of(state::keys::job(kJob)), 0);
+}
+
+TEST_F(UserRequests, CancelsAndConfirmsTheRepeat) {
+    start_serving();
+    EXPECT_EQ(submit(job_body()).status, 201);
+    const Response first = cancel(kJob);
+    EXPECT_EQ(first.status, 200);
+    EXPECT_EQ(first.body["phase"], "aborted");
+    const Response repeat = cancel(kJob);
+    EXPECT_EQ(repeat.status, 200);
+    EXPECT_EQ(repeat.body["phase"], "aborted");
+    EXPECT_EQ(cancel("j-000999").status, 404);
+}
+
+TEST_F(UserRequests, AFinalJobIsPolledFromMemory) {
+    store.put(state::keys::job(kJob), {{"f", "done"}});
+    start_serving();
+    store.silent = true;
+    const std::size_t reads = store.barrier_reads();
+    const Response response = poll(kJob);
+    EXPECT_EQ(response.status, 200);
+    EXPECT_EQ(response.body["phase"], "done");
+    EXPECT_EQ(store.barrier_reads(), reads);
+}
+
+TEST_F(UserRequests, AnOpenJobIsPolledAfterARead) {
+    start_serving();
+    EXPECT_EQ(submit(job_body()).status, 201);
+    const std::size_t reads = store.barrier_reads();
+    EXPECT_EQ(poll(kJob).status, 200);
+    EXPECT_GT(store.barrier_reads(), reads);
+    EXPECT_EQ(poll("j-000999").status, 404);
+}
+
+TEST_F(UserRequests, APollIs503WithRetryAfterWhenTheStateServiceDoesNotAnswer) {
+    start_serving();
+    store.silent = true;
+    const Response response = poll(kJob);
+    EXPECT_EQ(response.status, 503);
+    EXPECT_EQ(response.retryAfterS, 1);
+    EXPECT_EQ(response.body["error"], "the state service does not answer");
+}
+
+TEST_F(UserRequests, ASubmissionIs503BeforeTheControllerServes) {
+    store.put(state::keys::kTypes, machine_types());
+    start_reading();
+    start(userRequests.run());
+    const Response response = submit(job_body());
+    EXPECT_EQ(response.status, 503);
+    EXPECT_EQ(response.retryAfterS, 1);
+}
+
+}  // namespace
+}  // namespace wellstair::test
