--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -1,86 +1,125 @@
 #include "cloud/client.hpp"
 
+#include <algorithm>
+#include <utility>
+
+#include "net/time.hpp"
+
 namespace wellstair::cloud {
 
 using wire::Json;
 
 namespace {
-constexpr double kTimeoutS = 4;  // of one call; outages answer at once, cuts not at all
-constexpr double kShare = 0.6;   // of the cloud's rate: a successor in the role may already be calling, too
+
+constexpr double kTimeoutS = 4;       // of one call; outages answer at once, cuts not at all
+constexpr double kShareOfRate = 0.6;  // a successor in the role may already be calling, too
+constexpr double kBackoffS = 1;       // mean, after a call that was refused or not answered
+
+// Statuses of the protocol.
+constexpr int kOk = 200, kMalformed = 400, kTooManyRequests = 429, kUnavailable = 503;
+
+bool refused(const net::Reply& reply, const std::optional<Json>& body) {
+    if (reply.status == kMalformed) return true;
+    return reply.status == kUnavailable && body && wire::text(*body, "error") == "no capacity";
+}
+
+std::vector<std::string> host_names(const Json& body) {
+    std::vector<std::string> out;
+    if (const Json* hosts = wire::list(body, "hosts"))
+        for (const Json& host : *hosts)
+            if (host.is_string()) out.push_back(host.get<std::string>());
+    return out;
+}
+
+std::string list_target(const std::string& after) {
+    std::string target = "/machines?page=500";
+    if (!after.empty()) target += "&since=" + after;
+    return target;
+}
+
 }  // namespace
 
-Client::Client(asio::io_context& io, const config::Settings& s)
-    : io_(io), http_(io, s.cloud), spacingS_(1 / (kShare * s.cloudRps)) {}
+const char* to_string(RentResult::Kind kind) {
+    switch (kind) {
+        case RentResult::Kind::rented:
+            return "rented";
+        case RentResult::Kind::refused:
+            return "refused";
+        case RentResult::Kind::failed:
+            return "failed";
+    }
+    return "";
+}
+
+Client::Client(asio::io_context& io, const config::Settings& settings)
+    : io_(io), http_(io, settings.cloud), spacingS_(1 / (kShareOfRate * settings.cloudRps)) {}
 
 asio::awaitable<net::Reply> Client::call(net::verb method, std::string target, std::string body) {
-    double now = net::steady_now();
-    double at = std::max(now, next_);
-    next_ = at + spacingS_;
-    if (at > now) co_await net::sleep_for(io_, at - now);
-    net::Reply r = co_await http_.request(method, std::move(target), std::move(body), kTimeoutS);
-    if (r.outcome != net::Reply::answered) http_.drop_idle();
+    const double nowS = net::steady_now();
+    const double atS = std::max(nowS, nextCallAtS_);
+    nextCallAtS_ = atS + spacingS_;
+    if (atS > nowS) co_await net::sleep_for(io_, atS - nowS);
+    net::Reply reply = co_await http_.request(method, std::move(target), std::move(body), kTimeoutS);
+    if (!reply.answered()) http_.drop_idle();
     // Refused or in trouble: leave it alone for a moment.
-    if (r.outcome != net::Reply::answered || r.status == 429) next_ = net::steady_now() + net::jitter(1);
-    co_return r;
+    if (!reply.answered() || reply.status == kTooManyRequests)
+        nextCallAtS_ = net::steady_now() + net::jitter(kBackoffS);
+    co_return reply;
 }
 
 asio::awaitable<std::optional<std::vector<wire::MachineType>>> Client::types() {
-    net::Reply r = co_await call(net::verb::get, "/machine_types", "");
-    if (!r.ok()) co_return std::nullopt;
-    auto body = wire::decode(r.body);
+    net::Reply reply = co_await call(net::verb::get, "/machine_types", "");
+    if (!reply.ok()) co_return std::nullopt;
+    auto body = wire::decode(reply.body);
     const Json* list = body ? wire::list(*body, "builds") : nullptr;
     if (!list) co_return std::nullopt;
     std::vector<wire::MachineType> out;
-    for (const Json& e : *list)
-        if (auto t = wire::parse_type(e)) out.push_back(std::move(*t));
+    for (const Json& entry : *list)
+        if (auto type = wire::parse_type(entry)) out.push_back(std::move(*type));
     co_return out;
 }
 
 asio::awaitable<RentResult> Client::rent(std::string requestName, std::string machineType, std::string zone, bool spot,
                                          std::uint32_t number) {
-    Json body;
-    body["ask"] = requestName;
-    body["build"] = machineType;
-    body["hall"] = zone;
-    body["loaners"] = spot;
-    body["number"] = number;
-    RentResult out;
-    net::Reply r = co_await call(net::verb::post, "/machines", wire::encode(body));
-    if (r.outcome != net::Reply::answered) co_return out;
-    auto reply = wire::decode(r.body);
-    if (r.status == 200 && reply) {
-        out.kind = RentResult::rented;
-        if (const Json* hosts = wire::list(*reply, "hosts"))
-            for (const Json& h : *hosts)
-                if (h.is_string()) out.hosts.push_back(h.get<std::string>());
-    } else if (r.status == 400 || (r.status == 503 && reply && wire::text(*reply, "error") == "no capacity")) {
-        out.kind = RentResult::refused;
+    Json request;
+    request["ask"] = requestName;
+    request["build"] = machineType;
+    request["hall"] = zone;
+    request["loaners"] = spot;
+    request["number"] = number;
+    RentResult result;
+    net::Reply reply = co_await call(net::verb::post, "/machines", wire::encode(request));
+    if (!reply.answered()) co_return result;
+    auto body = wire::decode(reply.body);
+    if (reply.status == kOk && body) {
+        result.kind = RentResult::Kind::rented;
+        result.hosts = host_names(*body);
+    } else if (refused(reply, body)) {
+        result.kind = RentResult::Kind::refused;
     }
-    co_return out;
+    co_return result;
 }
 
 asio::awaitable<bool> Client::return_hosts(std::vector<std::string> hosts) {
-    Json body;
-    body["hosts"] = std::move(hosts);
-    net::Reply r = co_await call(net::verb::post, "/machines/return", wire::encode(body));
-    co_return r.ok();
+    Json request;
+    request["hosts"] = std::move(hosts);
+    net::Reply reply = co_await call(net::verb::post, "/machines/return", wire::encode(request));
+    co_return reply.ok();
 }
 
 asio::awaitable<std::optional<std::vector<wire::Machine>>> Client::list() {
     std::vector<wire::Machine> out;
-    std::string since;
+    std::string lastName;
     for (;;) {
-        std::string target = "/machines?page=500";
-        if (!since.empty()) target += "&since=" + since;
-        net::Reply r = co_await call(net::verb::get, std::move(target), "");
-        if (!r.ok()) co_return std::nullopt;
-        auto body = wire::decode(r.body);
+        net::Reply reply = co_await call(net::verb::get, list_target(lastName), "");
+        if (!reply.ok()) co_return std::nullopt;
+        auto body = wire::decode(reply.body);
         const Json* hosts = body ? wire::list(*body, "hosts") : nullptr;
         if (!hosts) co_return std::nullopt;
-        for (const Json& e : *hosts)
-            if (auto m = wire::parse_machine(e)) {
-                since = m->name;
-                out.push_back(std::move(*m));
+        for (const Json& entry : *hosts)
+            if (auto machine = wire::parse_machine(entry)) {
+                lastName = machine->name;
+                out.push_back(std::move(*machine));
             }
         if (!wire::flag(*body, "hasNext").value_or(false) || hosts->empty()) break;
     }
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -5,92 +5,95 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
-#include <chrono>
-#include <random>
+#include <utility>
+
+#include "net/time.hpp"
 
 namespace wellstair::net {
 
 namespace beast = boost::beast;
 namespace http = beast::http;
 using asio::ip::tcp;
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
 namespace {
 
-auto duration(double seconds) {
-    return std::chrono::duration_cast<std::chrono::steady_clock::duration>(std::chrono::duration<double>(seconds));
-}
-
-}  // namespace
+constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr std::size_t kMostIdle = 4;  // connections to one endpoint
+constexpr unsigned kHttpVersion = 11;
 
-double steady_now() {
-    return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
+http::request<http::string_body> make_request(verb method, const std::string& target, const std::string& host,
+                                              std::string body) {
+    http::request<http::string_body> request(method, target, kHttpVersion);
+    request.set(http::field::host, host);
+    if (!body.empty() || method == verb::post) {
+        request.set(http::field::content_type, "application/msgpack");
+        request.body() = std::move(body);
+        request.prepare_payload();
+    }
+    return request;
 }
 
-double wall_now() {
-    return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
-}
+}  // namespace
 
-double jitter(double seconds) {
-    static std::minstd_rand random(std::random_device{}());
-    return seconds * std::uniform_real_distribution<double>(0.75, 1.25)(random);
+const char* to_string(Reply::Outcome outcome) {
+    switch (outcome) {
+        case Reply::Outcome::answered:
+            return "answered";
+        case Reply::Outcome::not_sent:
+            return "not sent";
+        case Reply::Outcome::lost:
+            return "lost";
+    }
+    return "";
 }
 
-void Signal::notify() {
-    for (auto& timer : waiters_) timer.cancel();
+HttpClient::StreamPtr HttpClient::take_idle() {
+    if (idle_.empty()) return nullptr;
+    StreamPtr stream = std::move(idle_.back());
+    idle_.pop_back();
+    return stream;
 }
 
-asio::awaitable<void> Signal::wait(double seconds) {
-    auto mine = waiters_.emplace(waiters_.end(), io_, duration(seconds));
-    co_await mine->async_wait(kAwait);
-    waiters_.erase(mine);
+void HttpClient::keep(StreamPtr stream) {
+    stream->expires_never();
+    if (idle_.size() < kMostIdle) idle_.push_back(std::move(stream));
 }
 
-asio::awaitable<void> sleep_for(asio::io_context& io, double seconds) {
-    asio::steady_timer timer(io, duration(seconds));
-    co_await timer.async_wait(kAwait);
+// A new connection; null if there is none by the deadline.
+asio::awaitable<HttpClient::StreamPtr> HttpClient::connect(std::chrono::steady_clock::time_point deadline) {
+    auto stream = std::make_unique<Stream>(io_);
+    stream->expires_at(deadline);
+    tcp::endpoint to(asio::ip::make_address_v4(endpoint_.host), endpoint_.port);
+    auto [error] = co_await stream->async_connect(to, kAwait);
+    if (error) co_return nullptr;
+    beast::error_code ignored;
+    stream->socket().set_option(tcp::no_delay(true), ignored);
+    co_return stream;
 }
 
 asio::awaitable<Reply> HttpClient::request(verb method, std::string target, std::string body, double timeoutS) {
     Reply reply;
-    auto deadline = std::chrono::steady_clock::now() + duration(timeoutS);
-    std::unique_ptr<Stream> stream;
-    if (!idle_.empty()) {
-        stream = std::move(idle_.back());
-        idle_.pop_back();
-    } else {
-        stream = std::make_unique<Stream>(io_);
-        stream->expires_at(deadline);
-        tcp::endpoint to(asio::ip::make_address_v4(endpoint_.host), endpoint_.port);
-        auto [ec] = co_await stream->async_connect(to, kAwait);
-        if (ec) {
-            reply.outcome = Reply::not_sent;
-            co_return reply;
-        }
-        beast::error_code ignored;
-        stream->socket().set_option(tcp::no_delay(true), ignored);
+    const auto deadline = std::chrono::steady_clock::now() + duration(timeoutS);
+    StreamPtr stream = take_idle();
+    if (!stream) stream = co_await connect(deadline);
+    if (!stream) {
+        reply.outcome = Reply::Outcome::not_sent;
+        co_return reply;
     }
     stream->expires_at(deadline);
-    http::request<http::string_body> req(method, target, 11);
-    req.set(http::field::host, endpoint_.host);
-    if (!body.empty() || method == verb::post) {
-        req.set(http::field::content_type, "application/msgpack");
-        req.body() = std::move(body);
-        req.prepare_payload();
-    }
-    auto [we, wn] = co_await http::async_write(*stream, req, kAwait);
-    if (we) co_return reply;
+    const auto request = make_request(method, target, endpoint_.host, std::move(body));
+    auto [writeError, bytesWritten] = co_await http::async_write(*stream, request, kAwait);
+    if (writeError) co_return reply;
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
     parser.body_limit(boost::none);
-    auto [re, rn] = co_await http::async_read(*stream, buffer, parser, kAwait);
-    if (re) co_return reply;
-    reply.outcome = Reply::answered;
-    reply.status = parser.get().result_int();
-    bool keep = parser.get().keep_alive();
+    auto [readError, bytesRead] = co_await http::async_read(*stream, buffer, parser, kAwait);
+    if (readError) co_return reply;
+    reply.outcome = Reply::Outcome::answered;
+    reply.status = static_cast<int>(parser.get().result_int());
+    const bool keepAlive = parser.get().keep_alive();
     reply.body = std::move(parser.get().body());
-    stream->expires_never();
-    if (keep && idle_.size() < 4) idle_.push_back(std::move(stream));
+    if (keepAlive) keep(std::move(stream));
     co_return reply;
 }
 
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -7,39 +7,51 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/tcp_stream.hpp>
+#include <chrono>
+#include <utility>
+
+#include "net/time.hpp"
 
 namespace wellstair::peers {
 
 using asio::ip::tcp;
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
 namespace {
+
+constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr double kIntervalS = 0.5;
-constexpr auto kPatience = std::chrono::milliseconds(1500);
+constexpr auto kSendTimeout = std::chrono::milliseconds(1500);
+constexpr auto kReceiveTimeout = std::chrono::seconds(10);
+constexpr int kBacklog = 32;
+// Of each other controller: processes that have ended may leave connections behind.
+constexpr std::size_t kConnectionsPerMember = 8, kFurtherConnections = 8;
+
 }  // namespace
 
-PeerNetwork::PeerNetwork(asio::io_context& io, const config::Settings& s,
-                         std::function<PeerStatus(const std::string& to)> ownStatus,
-                         std::function<void(const PeerStatus&)> onStatus)
-    : io_(io), settings_(s), acceptor_(io), ownStatus_(std::move(ownStatus)), onStatus_(std::move(onStatus)) {
-    tcp::endpoint at(asio::ip::make_address_v4(s.internal.host), s.internal.port);
+PeerNetwork::PeerNetwork(asio::io_context& io, const config::Settings& settings, OwnStatus ownStatus, OnStatus onStatus)
+    : io_(io), settings_(settings), acceptor_(io), ownStatus_(std::move(ownStatus)), onStatus_(std::move(onStatus)) {
+    tcp::endpoint at(asio::ip::make_address_v4(settings.internal.host), settings.internal.port);
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(at);
-    acceptor_.listen(32);
+    acceptor_.listen(kBacklog);
 }
 
 void PeerNetwork::start() {
     asio::co_spawn(io_, accept(), asio::detached);
-    for (const auto& m : settings_.members) asio::co_spawn(io_, send_to(m.name, m.peer), asio::detached);
+    for (const auto& member : settings_.members) asio::co_spawn(io_, send_to(member.name, member.peer), asio::detached);
+}
+
+std::size_t PeerNetwork::most_connections() const {
+    return kConnectionsPerMember * settings_.members.size() + kFurtherConnections;
 }
 
 asio::awaitable<void> PeerNetwork::accept() {
     for (;;) {
-        auto [ec, socket] = co_await acceptor_.async_accept(kAwait);
-        if (ec)
+        auto [error, socket] = co_await acceptor_.async_accept(kAwait);
+        if (error)
             co_await net::sleep_for(io_, kIntervalS);
-        else if (open_ < 8 * settings_.members.size() + 8)
+        else if (open_ < most_connections())
             asio::co_spawn(io_, receive(std::move(socket)), asio::detached);
     }
 }
@@ -49,30 +61,31 @@
     boost::beast::tcp_stream stream(std::move(socket));
     for (;;) {
         std::string bytes(sizeof(PacketHeader), '\0');
-        stream.expires_after(std::chrono::seconds(10));
-        auto [e1, n1] = co_await asio::async_read(stream, asio::buffer(bytes), kAwait);
-        if (e1) break;
+        stream.expires_after(kReceiveTimeout);
+        auto [headerError, headerBytes] = co_await asio::async_read(stream, asio::buffer(bytes), kAwait);
+        if (headerError) break;
         auto size = packed_size(bytes);
         if (!size) break;
         bytes.resize(*size);
-        auto [e2, n2] = co_await asio::async_read(
-            stream, asio::buffer(bytes.data() + sizeof(PacketHeader), *size - sizeof(PacketHeader)), kAwait);
-        if (e2) break;
-        if (auto peerStatus = unpack(bytes)) onStatus_(*peerStatus);
+        auto rest = asio::buffer(bytes.data() + sizeof(PacketHeader), *size - sizeof(PacketHeader));
+        auto [restError, restBytes] = co_await asio::async_read(stream, rest, kAwait);
+        if (restError) break;
+        if (auto status = unpack(bytes)) onStatus_(*status);
     }
     --open_;
 }
 
-asio::awaitable<void> PeerNetwork::send_to(std::string member, config::Endpoint to) {
+asio::awaitable<void> PeerNetwork::send_to(std::string member, config::Endpoint endpoint) {
     for (;;) {
         boost::beast::tcp_stream stream(io_);
-        stream.expires_after(kPatience);
-        auto [ec] = co_await stream.async_connect(tcp::endpoint(asio::ip::make_address_v4(to.host), to.port), kAwait);
-        while (!ec) {
+        stream.expires_after(kSendTimeout);
+        tcp::endpoint to(asio::ip::make_address_v4(endpoint.host), endpoint.port);
+        auto [connectError] = co_await stream.async_connect(to, kAwait);
+        while (!connectError) {
             std::string bytes = pack(ownStatus_(member));
-            stream.expires_after(kPatience);
-            auto [we, n] = co_await asio::async_write(stream, asio::buffer(bytes), kAwait);
-            if (we) break;
+            stream.expires_after(kSendTimeout);
+            auto [writeError, bytesWritten] = co_await asio::async_write(stream, asio::buffer(bytes), kAwait);
+            if (writeError) break;
             co_await net::sleep_for(io_, kIntervalS);
         }
         co_await net::sleep_for(io_, net::jitter(kIntervalS));
--- a/src/peers/peer_network.hpp
+++ b/src/peers/peer_network.hpp
@@ -1,10 +1,17 @@
-// The controllers' own network: each sends its peer status packets to every other at short intervals.
+// The controllers' own network (PROTOCOL, controllers): each sends its status packets to every other at short
+// intervals, over a connection of its own. Packets are one way; there is no reply.
+// Owns the listening socket and the connections. One io_context thread; each connection is a coroutine.
+// Errors: the constructor throws when the address cannot be bound; a broken connection is made again after a pause, and
+// one that sends anything but packets is closed.
 #pragma once
 
+#include <boost/asio/awaitable.hpp>
+#include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <functional>
+#include <string>
 
-#include "net/http.hpp"
+#include "config/settings.hpp"
 #include "peers/packet.hpp"
 
 namespace wellstair::peers {
@@ -13,22 +20,29 @@
 
 class PeerNetwork {
   public:
-    PeerNetwork(asio::io_context& io, const config::Settings& settings,
-                std::function<PeerStatus(const std::string& to)> ownStatus,
-                std::function<void(const PeerStatus&)> onStatus);
+    // The packet to be sent to a receiver now.
+    using OwnStatus = std::function<PeerStatus(const std::string& receiver)>;
+    // Takes in a packet that has come.
+    using OnStatus = std::function<void(const PeerStatus&)>;
+
+    // Binds the internal address of the settings, which must outlive it.
+    PeerNetwork(asio::io_context& io, const config::Settings& settings, OwnStatus ownStatus, OnStatus onStatus);
+
+    // Starts to receive, and to send to each of the other controllers.
     void start();
 
   private:
     asio::awaitable<void> accept();
     asio::awaitable<void> receive(asio::ip::tcp::socket socket);
-    asio::awaitable<void> send_to(std::string member, config::Endpoint to);
+    asio::awaitable<void> send_to(std::string member, config::Endpoint endpoint);
+    std::size_t most_connections() const;
 
     asio::io_context& io_;
     const config::Settings& settings_;
     asio::ip::tcp::acceptor acceptor_;
-    std::function<PeerStatus(const std::string& to)> ownStatus_;
-    std::function<void(const PeerStatus&)> onStatus_;
-    std::size_t open_ = 0;
+    OwnStatus ownStatus_;
+    OnStatus onStatus_;
+    std::size_t open_ = 0;  // connections of others to us
 };
 
 }  // namespace wellstair::peers
--- a/src/service/loop_context.hpp
+++ b/src/service/loop_context.hpp
@@ -8,7 +8,8 @@
 
 #include "config/settings.hpp"
 #include "controller/core.hpp"
-#include "net/http.hpp"
+#include "net/signal.hpp"
+#include "net/time.hpp"
 
 namespace wellstair::service {
 
--- a/src/service/service.hpp
+++ b/src/service/service.hpp
@@ -4,6 +4,8 @@
 // Errors: the constructor throws when an address cannot be bound; a loop that fails ends the process.
 #pragma once
 
+#include <cstdint>
+
 #include "api/server.hpp"
 #include "cloud/client.hpp"
 #include "controller/core.hpp"
@@ -35,6 +37,9 @@
     // Starts listening and all loops; they run while the io_context does.
     void start();
 
+    // The port on which users and workers reach it.
+    std::uint16_t port() const { return server_.port(); }
+
   private:
     api::Handlers handlers();
 
--- a/src/workers/command_channel.cpp
+++ b/src/workers/command_channel.cpp
@@ -5,53 +5,68 @@
 
 namespace wellstair::workers {
 
+namespace {
+
+constexpr int kOk = 200, kConflict = 409;  // both are answered with a heartbeat
+constexpr unsigned kMaxPort = 65535;
+
+// "ip:port"; nothing if it is not an address.
+std::optional<config::Endpoint> parse_address(const std::string& address) {
+    const auto colon = address.rfind(':');
+    if (colon == std::string::npos) return std::nullopt;
+    unsigned port = 0;
+    std::from_chars(address.data() + colon + 1, address.data() + address.size(), port);
+    boost::system::error_code error;
+    asio::ip::make_address_v4(address.substr(0, colon), error);
+    if (error || port == 0 || port > kMaxPort) return std::nullopt;
+    return config::Endpoint{address.substr(0, colon), static_cast<std::uint16_t>(port)};
+}
+
+}  // namespace
+
 // Room is made for a host's channel here: a kept connection to each of a thousand machines, beside those on which they
-// heartbeat, would be more sockets than there are.
+// send heartbeats, would be more sockets than there are.
 bool Channels::make_ready(const std::string& host) {
     auto it = channels_.find(host);
     if (it != channels_.end()) return !it->second.busy;
     if (channels_.size() < most_) return true;
     auto oldest = channels_.end();
     for (auto c = channels_.begin(); c != channels_.end(); ++c)
-        if (!c->second.busy && (oldest == channels_.end() || c->second.used < oldest->second.used)) oldest = c;
+        if (!c->second.busy && (oldest == channels_.end() || c->second.lastUse < oldest->second.lastUse)) oldest = c;
     if (oldest == channels_.end()) return false;
     channels_.erase(oldest);
     return true;
 }
 
+bool Channels::connect(Channel& channel, const std::string& address) {
+    if (channel.http && channel.address == address) return true;
+    auto endpoint = parse_address(address);
+    if (!endpoint) return false;
+    channel.address = address;
+    channel.http = std::make_shared<net::HttpClient>(io_, *endpoint);
+    return true;
+}
+
 asio::awaitable<CommandResult> Channels::command(std::string host, std::string address, std::uint64_t fencingToken,
                                                  std::uint64_t agentEpoch, std::vector<wire::Command> commands,
                                                  double timeoutS) {
-    CommandResult out;
+    CommandResult result;
     Channel& channel = channels_[host];
-    if (!channel.http || channel.address != address) {
-        auto colon = address.rfind(':');
-        unsigned port = 0;
-        boost::system::error_code ec;
-        if (colon != std::string::npos) {
-            std::from_chars(address.data() + colon + 1, address.data() + address.size(), port);
-            asio::ip::make_address_v4(address.substr(0, colon), ec);
-        }
-        if (colon == std::string::npos || ec || port == 0 || port > 65535) co_return out;
-        channel.address = address;
-        channel.http = std::make_shared<net::HttpClient>(
-            io_, config::Endpoint{address.substr(0, colon), static_cast<std::uint16_t>(port)});
-    }
+    if (!connect(channel, address)) co_return result;
     channel.busy = true;
-    channel.used = ++uses_;
-    auto http = channel.http;
+    channel.lastUse = ++uses_;
+    auto http = channel.http;  // the channel may be gone when the answer comes
     wire::Json body;
     body["baton"] = fencingToken;
     body["tenure"] = agentEpoch;
     body["orders"] = to_json(commands);
-    net::Reply r = co_await http->request(net::verb::post, "/commands", wire::encode(body), timeoutS);
+    net::Reply reply = co_await http->request(net::verb::post, "/commands", wire::encode(body), timeoutS);
     if (auto it = channels_.find(host); it != channels_.end()) it->second.busy = false;
-    if (r.outcome != net::Reply::answered) http->drop_idle();
-    out.answered = r.outcome != net::Reply::lost;
-    out.executed = r.ok();
-    if (r.outcome == net::Reply::answered && (r.status == 200 || r.status == 409))
-        if (auto reply = wire::decode(r.body)) out.heartbeat = wire::parse_heartbeat(*reply);
-    co_return out;
+    if (!reply.answered()) http->drop_idle();
+    result.answered = reply.outcome != net::Reply::Outcome::lost;
+    if (!reply.answered() || (reply.status != kOk && reply.status != kConflict)) co_return result;
+    if (auto decoded = wire::decode(reply.body)) result.heartbeat = wire::parse_heartbeat(*decoded);
+    co_return result;
 }
 
 }  // namespace wellstair::workers
--- a/src/workers/command_channel.hpp
+++ b/src/workers/command_channel.hpp
@@ -1,9 +1,15 @@
-// Commands straight to a worker's address: one at a time for each host, over a kept connection.
+// Commands straight to workers' addresses (PROTOCOL, workers): one request at a time for each host, over a kept
+// connection. Owns the connections. One io_context thread.
+// Errors: nothing throws; a command without an answer may still be executed, minutes later.
 #pragma once
 
+#include <cstdint>
 #include <functional>
+#include <memory>
 #include <optional>
+#include <string>
 #include <unordered_map>
+#include <vector>
 
 #include "net/http.hpp"
 #include "wire/messages.hpp"
@@ -12,21 +18,27 @@
 
 namespace asio = boost::asio;
 
+// What became of a request with commands.
 struct CommandResult {
-    bool answered = true;  // false: it may still be executed, minutes later
-    bool executed = false;
-    std::optional<wire::Heartbeat> heartbeat;
+    bool answered = true;  // false: it may still be executed later; true also when it was never sent
+    std::optional<wire::Heartbeat> heartbeat;  // what the worker reports in its answer
 };
 
 class Channels {
   public:
-    // `most`: connections at a time; beyond that the one that was used longest ago is closed.
+    // `most`: hosts with a connection at a time; beyond that the one that was used longest ago is closed.
     Channels(asio::io_context& io, std::size_t most) : io_(io), most_(most) {}
-    // A command can be sent there now: none is under way, and there is a connection for it, made room for if need be.
+
+    // Whether a command can be sent to the host now: none is under way there, and there is a connection for it, for
+    // which room is made if need be.
     bool make_ready(const std::string& host);
+
+    // Sends commands to the worker at `address` ("ip:port"), under the fencing token and for the session of its agent.
+    // They are answered after `timeoutS` seconds at the latest.
     asio::awaitable<CommandResult> command(std::string host, std::string address, std::uint64_t fencingToken,
                                            std::uint64_t agentEpoch, std::vector<wire::Command> commands,
                                            double timeoutS);
+
     // Drops the channels of hosts that are not to be kept, unless a command is under way there.
     void prune(const std::function<bool(const std::string&)>& keep) {
         std::erase_if(channels_, [&](const auto& e) { return !e.second.busy && !keep(e.first); });
@@ -37,8 +49,10 @@
         std::string address;
         std::shared_ptr<net::HttpClient> http;
         bool busy = false;
-        std::uint64_t used = 0;  // counts up with each use
+        std::uint64_t lastUse = 0;  // counts up with each use
     };
+    bool connect(Channel& channel, const std::string& address);
+
     asio::io_context& io_;
     std::size_t most_;
     std::uint64_t uses_ = 0;
--- /dev/null
+++ b/tests/api_server_test.cpp
@@ -0,0 +1,110 @@
+// The HTTP server on the loopback device: paths, methods, headers and limits.
+#include <gtest/gtest.h>
+
+#include "api/server.hpp"
+#include "loopback_server.hpp"
+
+namespace wellstair::test {
+namespace {
+
+namespace beast = boost::beast;
+namespace http = beast::http;
+using Request = http::request<http::string_body>;
+using Reply = http::response<http::string_body>;
+
+api::Response echo(const std::string& what, const std::string& argument) {
+    return {200, {{what, argument}}, 0, ""};
+}
+
+class ApiServer : public testing::Test {
+  protected:
+    static asio::awaitable<api::Response> answer(api::Response response) { co_return response; }
+
+    api::Handlers handlers() {
+        api::Handlers out;
+        out.submit = [this](const std::string& body) { return answer(submitted ? *submitted : echo("submit", body)); };
+        out.heartbeat = [](const std::string& body) { return answer(echo("heartbeat", body)); };
+        out.poll = [](const std::string& id) { return answer(echo("poll", id)); };
+        out.cancel = [](const std::string& id) { return answer(echo("cancel", id)); };
+        out.healthy = [this] { return healthy; };
+        return out;
+    }
+
+    void SetUp() override { server.start(); }
+
+    // Sends one request over a connection of its own and returns the reply.
+    Reply send(http::verb method, const std::string& target, const std::string& body = "") {
+        Request request(method, target, 11);
+        request.body() = body;
+        request.prepare_payload();
+        auto reply = run_to_end(io, exchange(request));
+        EXPECT_TRUE(reply);
+        return reply.value_or(Reply());
+    }
+
+    asio::awaitable<Reply> exchange(Request request) {
+        beast::tcp_stream stream(io);
+        asio::ip::tcp::endpoint to(asio::ip::address_v4::loopback(), server.port());
+        co_await stream.async_connect(to, asio::use_awaitable);
+        co_await http::async_write(stream, request, asio::use_awaitable);
+        beast::flat_buffer buffer;
+        Reply reply;
+        co_await http::async_read(stream, buffer, reply, asio::use_awaitable);
+        co_return reply;
+    }
+
+    static wire::Json body(const Reply& reply) { return wire::decode(reply.body()).value_or("not MessagePack"); }
+
+    asio::io_context io{1};
+    bool healthy = true;
+    std::optional<api::Response> submitted;
+    api::Server server{io, {"127.0.0.1", 0}, 10, 20, handlers()};
+};
+
+TEST_F(ApiServer, RoutesByPathAndMethod) {
+    using http::verb;
+    EXPECT_EQ(body(send(verb::post, "/v2/runs", "B"))["submit"], "B");
+    EXPECT_EQ(body(send(verb::post, "/checkin", "B"))["heartbeat"], "B");
+    EXPECT_EQ(body(send(verb::get, "/v2/runs/j-1"))["poll"], "j-1");
+    EXPECT_EQ(body(send(verb::get, "/v2/runs/j-1?x=y"))["poll"], "j-1");
+    EXPECT_EQ(body(send(verb::post, "/v2/runs/j-1/withdraw"))["cancel"], "j-1");
+    for (const char* target : {"/", "/v2/runs/", "/v2/runsx", "/v2/runs/j-1/other", "/v2/runs/j-1/withdraw/x"})
+        EXPECT_EQ(send(verb::get, target).result_int(), 404u) << target;
+}
+
+TEST_F(ApiServer, NamesTheMethodThatIsAllowed) {
+    using http::verb;
+    const std::pair<const char*, const char*> gets[] = {
+        {"/v2/runs", "POST"}, {"/checkin", "POST"}, {"/v2/runs/j-1/withdraw", "POST"}};
+    for (const auto& [target, allowed] : gets) {
+        const Reply reply = send(verb::get, target);
+        EXPECT_EQ(reply.result_int(), 405u) << target;
+        EXPECT_EQ(reply[http::field::allow], allowed) << target;
+    }
+    for (const char* target : {"/v2/runs/j-1", "/healthz"}) {
+        const Reply reply = send(verb::post, target);
+        EXPECT_EQ(reply.result_int(), 405u) << target;
+        EXPECT_EQ(reply[http::field::allow], "GET") << target;
+    }
+}
+
+TEST_F(ApiServer, TellsWhenToRetry) {
+    submitted = api::Response{503, {{"error", "not now"}}, 0.2, ""};
+    const Reply reply = send(http::verb::post, "/v2/runs", "B");
+    EXPECT_EQ(reply.result_int(), 503u);
+    EXPECT_EQ(reply[http::field::retry_after], "1");
+    EXPECT_EQ(reply[http::field::content_type], "application/msgpack");
+}
+
+TEST_F(ApiServer, TellsItsHealth) {
+    EXPECT_EQ(send(http::verb::get, "/healthz").result_int(), 200u);
+    healthy = false;
+    EXPECT_EQ(send(http::verb::get, "/healthz").result_int(), 503u);
+}
+
+TEST_F(ApiServer, RefusesABodyBeyondTheLimit) {
+    EXPECT_EQ(send(http::verb::post, "/v2/runs", std::string(wire::kBodyLimit + 1, 'x')).result_int(), 413u);
+}
+
+}  // namespace
+}  // namespace wellstair::test
