--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -23,7 +23,15 @@
       cancellations_(context_, hosts_, schedule_),
       assignment_(context_),
       limits_(context_, assignment_, schedule_),
-      failover_(context_, assignment_, cancellations_, hosts_, peers_, schedule_) {
+      failover_(context_, assignment_, cancellations_, hosts_, peers_, schedule_),
+      eligibility_(context_, hosts_, peers_),
+      placementModel_(context_, eligibility_, hosts_, tunables_),
+      demand_(context_),
+      queueOrder_(context_, placementModel_),
+      heldBack_(context_),
+      preemption_(context_, schedule_, hosts_, placementModel_, queueOrder_),
+      planner_({context_, jobHistories_, eligibility_, placementModel_, demand_, queueOrder_, heldBack_, preemption_},
+               schedule_) {
     reset_state();
 }
 
@@ -194,7 +202,7 @@
         const int stage = (firstStage_ + i) % kStages;
         if (stage == 0) release_finished_tasks(builder, now);
         if (stage == 1) finish_jobs(builder);
-        if (stage == 2) place(builder, now);
+        if (stage == 2) planner_.place(builder, now);
     }
     firstStage_ = schedule_.round_due() ? (firstStage_ + 1) % kStages : 0;
     propose_scale_in(builder, now);
@@ -222,7 +230,8 @@
     peers::PeerStatus peerStatus{settings_.member, context_.incarnation(), storeAgeS, context_.serving(), {}};
     for (const auto& [name, n] : hosts_.all()) {
         const HostRecord* h = context_.state().host(name);
-        if (context_.led_here(h) && !usable(*h, now)) peerStatus.unusable.push_back({name, n.unreachable()});
+        if (context_.led_here(h) && !eligibility_.eligible(*h, now))
+            peerStatus.unusable.push_back({name, n.unreachable()});
     }
     peerStatus.sort();
     return peerStatus;
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -5,7 +5,6 @@
 // proposes the next transaction. Whatever was lost, late or done by somebody else shows in the next comparison.
 #pragma once
 
-#include <deque>
 #include <memory>
 #include <unordered_map>
 #include <variant>
@@ -22,10 +21,16 @@
 #include "peers/packet.hpp"
 #include "peers/peer_table.hpp"
 #include "placement/lem.hpp"
-#include "placement/overload.hpp"
-#include "placement/room.hpp"
 #include "placement/scale_out.hpp"
 #include "reconciliation/job_history.hpp"
+#include "scheduling/demand_history.hpp"
+#include "scheduling/held_back_jobs.hpp"
+#include "scheduling/host_eligibility.hpp"
+#include "scheduling/placement_model.hpp"
+#include "scheduling/preemption.hpp"
+#include "scheduling/queue_order.hpp"
+#include "scheduling/scheduling_planner.hpp"
+#include "scheduling/tuning_options.hpp"
 #include "state/state_cache.hpp"
 #include "state/transaction_builder.hpp"
 #include "workers/host_table.hpp"
@@ -35,12 +40,7 @@
 
 using wellstair::Timestamp;
 
-struct Tunables {
-    double leaWeight = 1;    // W; 0: the number of machines
-    double fetchGbPerS = 0;  // 0: what the cloud publishes for the type
-    double headroom = 1;     // machines kept ahead of demand, as a multiple of what arrives during a boot
-    placement::Weights::Mode mode = placement::Weights::Mode::mixed;
-};
+using Tunables = scheduling::TuningOptions;
 
 struct Answer {
     int status = 200;
@@ -183,7 +183,6 @@
     void log_start(const state::HostRecord& h, const wire::Command& start, const char* sentBy, Timestamp now) const;
     void add_blind_stops(const state::HostRecord& h, const workers::HostTracker& n,
                          std::vector<wire::Command>& all) const;
-    bool usable(const state::HostRecord& h, Timestamp now) const;
     void on_task_change(state::Job& job, std::uint32_t index, const state::Task& before, const state::Task& after);
     void record_replica_end(const state::Job& job, const std::string& host, Timestamp now);
     bool may_move_replica(const state::Job& job, std::uint32_t index, Timestamp now) const;
@@ -193,55 +192,6 @@
 
     void release_finished_tasks(state::TransactionBuilder& builder, Timestamp now);
     void finish_jobs(state::TransactionBuilder& builder);
-    void place(state::TransactionBuilder& builder, Timestamp now);
-
-    struct QueuedJob {
-        state::Job* job;
-        int priority;
-        bool overQuota;
-        bool aged = false;  // has waited for so long that it goes first
-        double share = 0;   // of all machines that it may use: what its open tasks take
-    };
-    std::vector<QueuedJob> ordered_queue(const std::vector<placement::Machine>& machines, Timestamp now) const;
-    void order_for_machines(std::vector<QueuedJob>& queue, const std::vector<placement::Machine>& machines,
-                            Timestamp now) const;
-    void order_within_limits(std::vector<QueuedJob>& queue, Timestamp now) const;
-    void put_lost_replicas_first(std::vector<QueuedJob>& queue) const;
-    void put_aged_first(std::vector<QueuedJob>& queue, Timestamp now) const;
-    bool has_team_room(const wire::JobSpec& spec) const;
-    void spend_ageing_share(std::map<std::string, double>& next, const QueuedJob& q, std::uint32_t tasks,
-                            Timestamp now) const;
-    std::vector<double> due_times(const wire::JobSpec& spec, bool overQuota) const;
-    struct Plan {
-        struct Start {
-            state::Job* job;
-            std::vector<std::pair<std::uint32_t, state::HostRecord*>> tasks;
-            std::uint32_t attempt;
-        };
-        std::vector<Start> starts;
-        struct Unmet {
-            state::Job* job;
-            std::uint32_t tasks;
-            bool overQuota;  // more than its team's guarantee
-            double soonest;  // the first promised start, or never
-        };
-        std::vector<Unmet> unmet;                  // tasks that cannot start now
-        std::vector<state::HostRecord*> records;   // by machine
-        std::vector<placement::Machine> machines;  // with what the plan holds on them
-    };
-    // `act`: as far as this controller has its turn; otherwise everything, to see what lacks room.
-    Plan make_plan(Timestamp now, bool act);
-    double placement_turn(const state::Job& job) const;
-    std::vector<std::size_t> machines_of(const state::Job& job, const std::vector<state::HostRecord*>& records) const;
-    void preempt(const Plan& plan, Timestamp now);
-    void record_arrivals(Timestamp now);
-    placement::Request probe(const wire::JobSpec& spec, std::uint32_t count) const;
-    std::set<const state::Job*> jobs_over_quota() const;
-    std::vector<placement::Machine> machines(Timestamp now, std::vector<state::HostRecord*>& records);
-    placement::Request request_of(const state::Job& job) const;
-    placement::Weights weights(std::size_t machines) const;
-    std::uint32_t zone_id(const std::string& zone);
-    std::uint32_t node_pool_id(const std::string& machineType, const std::string& zone, bool spot);
 
     const config::Settings& settings_;
     Tunables tunables_;
@@ -254,40 +204,17 @@
     leadership::ShardAssignment assignment_;
     leadership::StateLimitPolicy limits_;
     failover::HostFailover failover_;
-    double plannedS_ = -1e9;   // when it was last planned
-    double nextTurnS_ = 1e18;  // time of day of the next turn of this controller at some job
-    struct NodePool {
-        std::string machineType, zone;
-        bool spot;
-    };
-    std::vector<NodePool> nodePools_;
-    std::vector<std::string> zones_;
-    // Room that is being made by stopping tasks, until when it is kept for its job.
-    struct Reservation {
-        std::vector<std::string> hosts;  // by task
-        double untilS;                   // time of day
-    };
-    std::map<std::string, Reservation> reservations_;
-    // From when on the next job that has waited for long goes first: of a team, and by the machines (no name).
-    std::map<std::string, double> nextAgedStartS_;
-    std::uint64_t lastOrder_ = 0;  // the newest job that was planned for
+    scheduling::HostEligibility eligibility_;
+    scheduling::PlacementModel placementModel_;
+    scheduling::DemandHistory demand_;
+    scheduling::QueueOrder queueOrder_;
+    scheduling::HeldBackJobs heldBack_;
+    scheduling::Preemption preemption_;
+    scheduling::SchedulingPlanner planner_;
 
     HeartbeatStatistics heartbeatStatistics_;
     double scaleInProposedS_ = -1e9;
     int firstStage_ = 0;  // of a round: rotates while transactions are full
-    // Jobs that would run but for room kept for others: since when, and when that was seen last; a moment without any
-    // room, between two tasks, does not end it. Kept room is a courtesy, and may not cost a job more than two leases.
-    struct HeldBack {
-        double sinceS, seenS;
-    };
-    std::unordered_map<std::string, HeldBack> heldBack_;
-    bool held_back_too_long(const std::string& id, Timestamp now) const {
-        auto it = heldBack_.find(id);
-        return it != heldBack_.end() && now.steady - it->second.sinceS > 2 * settings_.leaseS;
-    }
-    // Foreign hosts on which a planned start does not happen: since when.
-    std::unordered_map<std::string, double> unstartedSince_;
-
     MachineList cloud_;
     struct PendingHost {
         ScaleOutRequest what;
@@ -301,17 +228,6 @@
     std::vector<std::pair<wire::JobSpec, std::uint32_t>> unmetDemand_;  // tasks without room: what they need, how many
     std::map<std::string, double> idleSince_;
     std::map<std::string, double> unownedSince_;  // hosts that nobody keeps alive
-    struct ClassArrivals {
-        wire::JobSpec last;
-        std::deque<std::pair<double, std::uint32_t>> arrivals;  // steady time, tasks
-    };
-    std::map<std::string, ClassArrivals> arrivalsByClass_;
-    struct Urgent {
-        double cores = 0, gpus = 0, lastS = -1e9;
-    };
-    // What one job of a team and rank takes, as seen of late.
-    std::map<std::pair<std::string, int>, Urgent> urgent_;
-    std::set<std::string> counted_;
 };
 
 }  // namespace wellstair::controller
--- a/src/controller/scale_out.cpp
+++ b/src/controller/scale_out.cpp
@@ -3,10 +3,12 @@
 #include <cmath>
 
 #include "controller/core.hpp"
-#include "controller/job_needs.hpp"
+#include "scheduling/job_needs.hpp"
 
 namespace wellstair::controller {
 
+using scheduling::allows;
+using scheduling::need_of;
 using state::HostRecord;
 
 namespace {
@@ -42,11 +44,11 @@
     context_.set_now(now);
     unmetDemand_.clear();
     if (!holds_cloud_role() || context_.state().types().empty()) return;
-    Plan plan = make_plan(now, false);
+    scheduling::Plan plan = planner_.make_plan(now, scheduling::PlanPurpose::estimate_demand);
     for (const auto& u : plan.unmet) unmetDemand_.emplace_back(*u.job->spec, u.tasks);
     // Ahead of demand: what usually arrives while a machine boots.
-    placement::Planner ahead(now.wall, std::move(plan.machines), weights(plan.records.size()));
-    for (auto& [name, jobClass] : arrivalsByClass_) {
+    placement::Planner ahead(now.wall, std::move(plan.machines), placementModel_.weights(plan.records.size()));
+    for (const auto& [name, jobClass] : demand_.by_class()) {
         double window = 4 * settings_.leaseS;
         double tasks = 0;
         for (const auto& [at, n] : jobClass.arrivals) tasks += n;
@@ -58,7 +60,7 @@
         if (team && team->gpusMax > 0 && jobClass.last.gpus > 0)
             target = std::min(target, static_cast<std::uint32_t>(team->gpusMax / jobClass.last.gpus));
         if (!target) continue;
-        auto slots = ahead.place_batch(probe(jobClass.last, target), true);
+        auto slots = ahead.place_batch(placementModel_.probe(jobClass.last, target), true);
         if (slots.size() < target)
             unmetDemand_.emplace_back(jobClass.last, target - static_cast<std::uint32_t>(slots.size()));
     }
--- a/src/controller/task_reconciliation.cpp
+++ b/src/controller/task_reconciliation.cpp
@@ -139,7 +139,7 @@
         if (!after.host && job.gang()) schedule_.mark_job_due(job);
     }
     if (after.host) schedule_.mark_due(*after.host);
-    if (after.host && after.host != before.host) unstartedSince_.erase(after.host->name);
+    if (after.host && after.host != before.host) eligibility_.start_seen(after.host->name);
 }
 
 bool Core::stopping(const Job& job, const Task& task) const {
--- /dev/null
+++ b/src/scheduling/demand_history.cpp
@@ -0,0 +1,61 @@
+#include "scheduling/demand_history.hpp"
+
+#include <algorithm>
+
+namespace wellstair::scheduling {
+
+using placement::Need;
+
+namespace {
+
+constexpr double kWindowLeases = 4;         // for which arrivals are counted
+constexpr double kNeedLeases = 10;          // for which the need of a team's jobs is remembered
+constexpr std::size_t kMostCounted = 4096;  // jobs remembered as counted before those that are over are forgotten
+
+}  // namespace
+
+double ClassArrivals::tasks() const {
+    double sum = 0;
+    for (const JobArrival& arrival : arrivals) sum += arrival.tasks;
+    return sum;
+}
+
+double DemandHistory::window_s() const {
+    return kWindowLeases * context_.settings().leaseS;
+}
+
+void DemandHistory::record_arrivals(Timestamp now) {
+    for (const auto& [order, job] : context_.state().queue()) {
+        if (!counted_.insert(job->id).second) continue;
+        ClassArrivals& jobClass = byClass_[job->spec->jobClass];
+        jobClass.last = *job->spec;
+        jobClass.arrivals.push_back({now.steady - (now.wall - static_cast<double>(job->atS)), job->spec->taskCount});
+    }
+    if (counted_.size() > kMostCounted)
+        std::erase_if(counted_, [&](const std::string& id) { return !context_.state().job(id); });
+    for (auto& [name, jobClass] : byClass_)
+        while (!jobClass.arrivals.empty() && now.steady - jobClass.arrivals.front().atS > window_s())
+            jobClass.arrivals.pop_front();
+}
+
+void DemandHistory::record_needs(Timestamp now) {
+    for (const auto& [order, job] : context_.state().queue()) {
+        const wire::JobSpec& spec = *job->spec;
+        const double tasks = job->gang() || job->service() ? spec.taskCount : 1;
+        JobNeed& need = needs_[{spec.team, static_cast<int>(spec.priority)}];
+        need.cores = std::max(need.cores, spec.cores * tasks);
+        need.gpus = std::max(need.gpus, spec.gpus * tasks);
+        need.lastSeenS = now.steady;
+    }
+    const double keptS = kNeedLeases * context_.settings().leaseS;
+    std::erase_if(needs_, [&](const auto& entry) { return now.steady - entry.second.lastSeenS > keptS; });
+}
+
+Need DemandHistory::need_above(const std::string& team, int priority) const {
+    Need sum;
+    for (const auto& [key, need] : needs_)
+        if (key.first == team && key.second < priority) sum.cores += need.cores, sum.gpus += need.gpus;
+    return sum;
+}
+
+}  // namespace wellstair::scheduling
--- a/src/controller/job_needs.hpp
+++ b/src/scheduling/job_needs.hpp
@@ -1,4 +1,4 @@
-// What a job's tasks need, and where they may run.
+// What a job's tasks need, and where they may run: pure functions of the job's description.
 #pragma once
 
 #include <algorithm>
@@ -7,12 +7,18 @@
 #include "placement/lem.hpp"
 #include "wire/messages.hpp"
 
-namespace wellstair::controller {
+namespace wellstair::scheduling {
 
+// What one task takes.
 inline placement::Need need_of(const wire::JobSpec& spec) {
     return {spec.cores, spec.gpus, spec.ramGb};
 }
 
+// What one task takes of its team's limit, which counts cores and GPUs alone.
+inline placement::Need quota_need_of(const wire::JobSpec& spec) {
+    return {spec.cores, spec.gpus, 0};
+}
+
 // Whether the job allows machines of this type and zone, spot or not.
 inline bool allows(const wire::JobSpec& spec, const std::string& machineType, const std::string& zone, bool spot) {
     if (spec.machineTypes &&
@@ -22,4 +28,4 @@
     return !spot || spec.spotAllowed;
 }
 
-}  // namespace wellstair::controller
+}  // namespace wellstair::scheduling
--- /dev/null
+++ b/src/scheduling/plan_builder.cpp
@@ -0,0 +1,248 @@
+#include "scheduling/plan_builder.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "common/stable_hash.hpp"
+#include "scheduling/job_needs.hpp"
+
+namespace wellstair::scheduling {
+
+using placement::Need;
+using placement::Request;
+using placement::Slot;
+using state::HostRecord;
+using state::Job;
+using state::Task;
+using state::TaskState;
+
+namespace {
+
+// Promises are made to the first jobs of the queue only, until so many machines have been looked at in one plan; behind
+// them, tasks start where they disturb no promise.
+constexpr std::uint64_t kPromiseLooks = 4096;
+constexpr std::uint32_t kMostTasksOfJob = 256;  // of one batch or service in one plan
+constexpr double kUnlimited = 1e12;             // room of a team without a limit
+// Room is kept for what arrives in so many heartbeat intervals, for so many tasks of a job class at most: whichever is
+// more, the number or the number of machines divided by the divisor.
+constexpr double kKeptRoomIntervals = 2;
+constexpr double kKeptRoomTasks = 8;
+constexpr double kKeptRoomMachinesDivisor = 16;
+// Controllers that take turns at a job follow one another after the heartbeat interval divided by this.
+constexpr double kTurnDivisor = 16;
+// Seconds for which the controller that is responsible for a batch has it to itself.
+constexpr double kFirstTurnS = 1;
+
+bool begun(const Job& job) {
+    return job.placed + job.done > 0;
+}
+
+}  // namespace
+
+PlanBuilder::PlanBuilder(const PlanningInputs& inputs, PlanPurpose purpose, Timestamp now, ClusterSnapshot cluster)
+    : inputs_(inputs),
+      settings_(inputs.context.settings()),
+      purpose_(purpose),
+      now_(now),
+      planner_(now.wall, std::move(cluster.machines), inputs.model.weights(cluster.records.size())) {
+    plan_.records = std::move(cluster.records);
+}
+
+Plan PlanBuilder::build() {
+    compute_team_room();
+    inputs_.demand.record_needs(now_);
+    if (starting()) inputs_.heldBack.forget_released(now_);
+    keepRoom_ = !inputs_.heldBack.any_too_long(now_);
+    for (const QueuedJob& queued : inputs_.queueOrder.ordered_queue(planner_.machines(), now_)) {
+        keep_room_for_arrivals(queued);
+        place_job(queued);
+    }
+    plan_.machines = planner_.machines();
+    return std::move(plan_);
+}
+
+void PlanBuilder::compute_team_room() {
+    const auto& records = inputs_.context.state().teams();
+    for (const config::Team& team : settings_.teams) {
+        auto record = records.find(team.name);
+        const state::Use used = record == records.end() ? state::Use{} : record->second.total;
+        const double cores = used.cores / 1000.0;
+        const double gpus = used.gpus / 1000.0;
+        const Need room{team.cpusMax > 0 ? team.cpusMax - cores : kUnlimited,
+                        team.gpusMax > 0 ? team.gpusMax - gpus : kUnlimited, kUnlimited};
+        teamRoom_[team.name] = {room, room};
+    }
+}
+
+void PlanBuilder::keep_room_for_arrivals(const QueuedJob& queued) {
+    if (!keepRoom_ || queued.aged) return;
+    for (const auto& [name, jobClass] : inputs_.demand.by_class()) {
+        const bool higher = static_cast<int>(jobClass.last.priority) < queued.priority;
+        if (!higher || jobClass.arrivals.empty() || !keptClasses_.insert(name).second) continue;
+        keep_room_for(jobClass);
+    }
+}
+
+void PlanBuilder::keep_room_for(const ClassArrivals& jobClass) {
+    const double soon =
+        std::ceil(jobClass.tasks() * kKeptRoomIntervals * settings_.heartbeatIntervalS / inputs_.demand.window_s());
+    const double most = std::max(kKeptRoomTasks, static_cast<double>(plan_.records.size()) / kKeptRoomMachinesDivisor);
+    const Request request = inputs_.model.probe(jobClass.last, static_cast<std::uint32_t>(std::min(soon, most)));
+    std::map<std::size_t, std::uint32_t> tasks;  // by machine
+    for (const Slot& slot : planner_.place_batch(request, true)) ++tasks[slot.machine];
+    const Need one = need_of(jobClass.last);
+    for (const auto& [machine, number] : tasks) {
+        Need free = placement::free_at(planner_.machines()[machine], now_.wall);
+        for (std::uint32_t k = 0; k < number; ++k) free += one;
+        keptRoom_.push_back({planner_.machines()[machine].nodePool, free});
+    }
+}
+
+void PlanBuilder::place_job(const QueuedJob& queued) {
+    Job& job = *queued.job;
+    if (!may_start(job)) return;
+    const wire::JobSpec& spec = *job.spec;
+    const bool gang = job.wide_gang();
+    TeamRoom& room = teamRoom_[spec.team];
+    const TaskRange range = startable_tasks(queued, room);
+    if (range.most < range.least) {
+        if (starting() && held_back_by_team(job, room, range.least)) inputs_.heldBack.record(job, now_);
+        return;
+    }
+    collect_open_tasks(job, range.most);
+    Request request = request_for(job);
+    request.count = gang ? spec.taskCount : static_cast<std::uint32_t>(openTasks_.size());
+    if (request.count == 0) return;
+    const bool startOnly = planner_.looked() > kPromiseLooks && !queued.aged;
+    const Started started =
+        record_starts(job, gang ? planner_.place_gang(request, startOnly) : planner_.place_batch(request, startOnly));
+    room.left = {room.left.cores - started.tasks * spec.cores, room.left.gpus - started.tasks * spec.gpus,
+                 room.left.ramGb};
+    if (starting()) {
+        if (queued.aged && started.tasks > 0) inputs_.queueOrder.record_aged_start(queued, started.tasks, now_);
+        if (!begun(job) && !started.tasks && held_back_by_kept_room(request)) inputs_.heldBack.record(job, now_);
+    }
+    const bool complete = started.tasks == request.count;
+    if (!complete) plan_.unmet.push_back({&job, request.count - started.tasks, queued.overQuota, started.soonestS});
+    apply_reservation(job, complete);
+}
+
+bool PlanBuilder::may_start(const Job& job) {
+    if (inputs_.jobHistories.backing_off(job.id, now_)) return false;
+    if (job.wide_gang() && job.gang_state() != state::GangState::open) return false;
+    if (!starting()) return true;
+    const double turnS = turn_s(job);
+    if (turnS <= now_.wall) return true;
+    nextTurnS_ = std::min(nextTurnS_, turnS);
+    return false;
+}
+
+double PlanBuilder::turn_s(const Job& job) const {
+    const bool single = job.spec->taskCount == 1 && !job.service();
+    if (job.gang() || single || inputs_.context.responsible(job)) return 0;
+    double turn = 1;
+    const auto own = stable_hash(settings_.member, job.id);
+    for (const config::MemberAddress& peer : settings_.members)
+        if (peer.name != job.owner && stable_hash(peer.name, job.id) < own) ++turn;
+    const double afterS = turn * (settings_.heartbeatIntervalS / kTurnDivisor);
+    // All replicas of a service are placed by its responsible controller, on any host; by others only if it does not.
+    if (job.service()) return inputs_.jobHistories.open_since(job) + settings_.heartbeatIntervalS + afterS;
+    return static_cast<double>(job.atS) + kFirstTurnS + afterS;
+}
+
+Need PlanBuilder::need_kept_from(const QueuedJob& queued) const {
+    if (queued.aged || inputs_.heldBack.too_long(queued.job->id, now_)) return {};
+    return inputs_.demand.need_above(queued.job->spec->team, queued.priority);
+}
+
+PlanBuilder::TaskRange PlanBuilder::startable_tasks(const QueuedJob& queued, const TeamRoom& room) const {
+    const wire::JobSpec& spec = *queued.job->spec;
+    const std::uint32_t fit = placement::times(room.left - need_kept_from(queued), quota_need_of(spec));
+    if (queued.job->wide_gang()) return {spec.taskCount, fit < spec.taskCount ? 0 : spec.taskCount};
+    return {1, std::min(fit, kMostTasksOfJob)};
+}
+
+bool PlanBuilder::held_back_by_team(const Job& job, const TeamRoom& room, std::uint32_t least) {
+    if (begun(job) || !room.beforePlan) return false;
+    return placement::times(*room.beforePlan, quota_need_of(*job.spec)) >= least;
+}
+
+void PlanBuilder::collect_open_tasks(const Job& job, std::uint32_t most) {
+    const std::uint32_t chunkSize = inputs_.context.state().chunk_size();
+    openTasks_.clear();
+    for (std::uint32_t c = 0; c < job.chunks.size() && openTasks_.size() < most; ++c) {
+        const state::Chunk& chunk = job.chunks[c];
+        const std::uint32_t first = c * chunkSize;
+        const std::uint32_t size = std::min(chunkSize, job.spec->taskCount - first);
+        if (!chunk.tasks.empty() && chunk.done + chunk.placed == size) continue;
+        for (std::uint32_t i = 0; i < size && openTasks_.size() < most; ++i)
+            if (chunk.tasks.empty() || chunk.tasks[i].state == TaskState::open) openTasks_.push_back(first + i);
+    }
+}
+
+Request PlanBuilder::request_for(const Job& job) const {
+    Request request = inputs_.model.request_of(job);
+    if (request.antiAffine) request.onMachines = machines_of(job);
+    return request;
+}
+
+std::vector<std::size_t> PlanBuilder::machines_of(const Job& job) const {
+    std::vector<std::size_t> machines;
+    for (const state::Chunk& chunk : job.chunks)
+        for (const Task& task : chunk.tasks) {
+            if (!task.host) continue;
+            if (auto machine = machine_index(task.host->name)) machines.push_back(*machine);
+        }
+    return machines;
+}
+
+std::optional<std::size_t> PlanBuilder::machine_index(const std::string& host) const {
+    auto record = std::lower_bound(plan_.records.begin(), plan_.records.end(), host,
+                                   [](const HostRecord* a, const std::string& name) { return a->name < name; });
+    if (record == plan_.records.end() || (*record)->name != host) return std::nullopt;
+    return static_cast<std::size_t>(record - plan_.records.begin());
+}
+
+PlanBuilder::Started PlanBuilder::record_starts(Job& job, const std::vector<Slot>& slots) {
+    const std::uint32_t chunkSize = inputs_.context.state().chunk_size();
+    const bool gang = job.wide_gang();
+    Started started;
+    PlannedStart whole{&job, {}, 0};  // of a gang
+    for (const Slot& slot : slots) {
+        if (slot.start > now_.wall) {
+            started.soonestS = std::min(started.soonestS, slot.start);
+            continue;
+        }
+        const std::uint32_t index = openTasks_[started.tasks++];
+        HostRecord* host = plan_.records[slot.machine];
+        const std::uint32_t attempt = job.task(index, chunkSize).attempt + 1;
+        if (gang) {
+            whole.tasks.emplace_back(index, host);
+            whole.attempt = std::max(whole.attempt, attempt);
+        } else {
+            plan_.starts.push_back({&job, {{index, host}}, attempt});
+        }
+    }
+    if (gang && whole.tasks.size() == job.spec->taskCount) plan_.starts.push_back(std::move(whole));
+    return started;
+}
+
+bool PlanBuilder::held_back_by_kept_room(const Request& request) const {
+    return std::any_of(keptRoom_.begin(), keptRoom_.end(), [&](const KeptRoom& kept) {
+        return request.allowed[kept.nodePool] && request.need.fits(kept.free);
+    });
+}
+
+void PlanBuilder::apply_reservation(const Job& job, bool complete) {
+    const Reservation* reservation = inputs_.preemption.reservation(job.id);
+    if (!reservation) return;
+    if (complete) {
+        inputs_.preemption.release_reservation(job.id);
+        return;
+    }
+    for (const std::string& host : reservation->hosts)
+        if (auto machine = machine_index(host)) planner_.reserve(*machine, need_of(*job.spec), reservation->untilS);
+}
+
+}  // namespace wellstair::scheduling
--- /dev/null
+++ b/src/scheduling/preemption.cpp
@@ -0,0 +1,186 @@
+#include "scheduling/preemption.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "scheduling/duration_estimates.hpp"
+#include "scheduling/job_needs.hpp"
+
+namespace wellstair::scheduling {
+
+using placement::Machine;
+using placement::Need;
+using state::HostRecord;
+using state::TaskRef;
+using workers::HostTracker;
+
+namespace {
+
+// Jobs for which one plan preempts: the next plan sees what is preempted for them.
+constexpr int kMostJobs = 8;
+// Heartbeat intervals within which a preempted task is gone, beside the time that it takes to write its checkpoint.
+constexpr double kStopIntervals = 2;
+
+// What a task loses when it is preempted: a service fetches its image again, a task with checkpoints writes one, and
+// any other runs again from its start.
+double lost_s(const wire::JobSpec& spec, const Machine& machine, double ranS) {
+    if (spec.service()) return spec.imageGb / machine.fetchGbPerS;
+    return spec.checkpointIntervalS > 0 ? spec.checkpointWriteS : ranS;
+}
+
+}  // namespace
+
+void Preemption::expire_reservations(Timestamp now) {
+    std::erase_if(reservations_, [&](const auto& entry) {
+        return entry.second.untilS < now.wall || !context_.state().job(entry.first);
+    });
+}
+
+const Reservation* Preemption::reservation(const std::string& job) const {
+    auto entry = reservations_.find(job);
+    return entry == reservations_.end() ? nullptr : &entry->second;
+}
+
+void Preemption::preempt(const Plan& plan, Timestamp now) {
+    if (plan.unmet.empty()) return;
+    Pass pass{plan, now, queueOrder_.jobs_over_quota(), {}};
+    int jobs = 0;
+    for (const UnmetDemand& unmet : plan.unmet) {
+        const bool startsSoon = unmet.soonestS - now.wall < context_.settings().heartbeatIntervalS;
+        if (startsSoon || reservations_.count(unmet.job->id)) continue;
+        if (++jobs > kMostJobs) break;
+        std::vector<Place> chosen = choose_places(pass, unmet, candidate_places(pass, unmet));
+        drop_costly(pass, unmet, chosen);
+        if (!chosen.empty()) execute(pass, unmet, chosen);
+    }
+}
+
+bool Preemption::may_preempt(const Pass& pass, const UnmetDemand& unmet, const TaskRef& task) {
+    const wire::JobSpec& spec = *unmet.job->spec;
+    const wire::JobSpec& victim = *task.job->spec;
+    const bool lowerPriority = victim.priority > spec.priority;
+    const bool borrowed =
+        !unmet.overQuota && victim.team != spec.team && pass.overQuota.count(task.job) && !victim.service();
+    if (!lowerPriority && !borrowed) return false;
+    return task.job != unmet.job && !task.job->wide_gang() && !pass.preempted.count({task.job, task.index});
+}
+
+double Preemption::preemption_cost_s(const TaskRef& task, const Machine& machine, Timestamp now) const {
+    const wire::JobSpec& spec = *task.job->spec;
+    const double intervalS = context_.settings().heartbeatIntervalS;
+    const double ranS = now.wall - task.job->task(task.index, context_.state().chunk_size()).atS;
+    const double leftS = occupied_s(spec) - ranS;
+    // A task that is about to end is preempted last.
+    const double aboutToEndS = leftS < intervalS ? spec.estimatedDurationS : 0;
+    return lost_s(spec, machine, ranS) + aboutToEndS + intervalS;
+}
+
+void Preemption::collect_victims(const Pass& pass, const UnmetDemand& unmet, std::size_t machine,
+                                 std::vector<Victim>& victims) const {
+    victims.clear();
+    for (const TaskRef& task : pass.plan.records[machine]->placed)
+        if (may_preempt(pass, unmet, task))
+            victims.push_back({task, preemption_cost_s(task, pass.plan.machines[machine], pass.now)});
+    std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) { return a.costS < b.costS; });
+}
+
+std::vector<Preemption::Place> Preemption::candidate_places(const Pass& pass, const UnmetDemand& unmet) const {
+    const Need need = need_of(*unmet.job->spec);
+    const placement::Request request = model_.request_of(*unmet.job);
+    std::vector<Place> places;
+    std::vector<Victim> victims;
+    for (std::size_t i = 0; i < pass.plan.machines.size(); ++i) {
+        const Machine& machine = pass.plan.machines[i];
+        if (!request.allowed[machine.nodePool] || !need.fits(machine.total)) continue;
+        collect_victims(pass, unmet, i, victims);
+        add_places(pass, unmet, i, victims, places);
+    }
+    std::stable_sort(places.begin(), places.end(), [](const Place& a, const Place& b) { return a.costS < b.costS; });
+    return places;
+}
+
+void Preemption::add_places(const Pass& pass, const UnmetDemand& unmet, std::size_t machineIndex,
+                            const std::vector<Victim>& victims, std::vector<Place>& places) {
+    const wire::JobSpec& spec = *unmet.job->spec;
+    const Machine& machine = pass.plan.machines[machineIndex];
+    const bool gang = unmet.job->wide_gang();
+    const Need need = need_of(spec);
+    // Without victims, only a gang has a use for what is free: its other places may take victims.
+    if (victims.empty() && !gang) return;
+    Need free = placement::free_at(machine, pass.now.wall);
+    if (victims.empty() && !placement::times(free, need)) return;
+    const double cachedAt = machine.cache ? machine.cache->ready_at(spec.image, pass.now.wall) : -1;
+    const double fetchS = cachedAt < 0 ? spec.imageGb / machine.fetchGbPerS : std::max(0.0, cachedAt - pass.now.wall);
+    std::size_t next = 0;
+    for (std::uint32_t n = 0; n < unmet.tasks; ++n) {
+        Place place{machineIndex, fetchS, {}};
+        while (!need.fits(free) && next < victims.size()) {
+            const Victim& victim = victims[next++];
+            free += need_of(*victim.task.job->spec);
+            place.costS += victim.costS;
+            place.victims.push_back(victim.task);
+        }
+        if (!need.fits(free)) return;
+        free = free - need;
+        if (gang || !place.victims.empty()) places.push_back(std::move(place));
+    }
+}
+
+std::vector<Preemption::Place> Preemption::choose_places(const Pass& pass, const UnmetDemand& unmet,
+                                                         std::vector<Place> places) {
+    const bool gang = unmet.job->wide_gang();
+    if (gang && unmet.job->spec->coLocated) return choose_in_one_zone(pass, unmet, places);
+    if (places.size() > unmet.tasks) places.resize(unmet.tasks);
+    if (gang && places.size() < unmet.tasks) places.clear();
+    return places;
+}
+
+std::vector<Preemption::Place> Preemption::choose_in_one_zone(const Pass& pass, const UnmetDemand& unmet,
+                                                              std::vector<Place>& places) {
+    std::vector<Place> chosen;
+    std::map<std::uint32_t, std::vector<Place*>> byZone;
+    for (Place& place : places) {
+        auto& ofZone = byZone[pass.plan.machines[place.machine].zone];
+        ofZone.push_back(&place);
+        if (ofZone.size() < unmet.tasks) continue;
+        for (Place* enough : ofZone) chosen.push_back(std::move(*enough));
+        break;
+    }
+    return chosen;
+}
+
+void Preemption::drop_costly(const Pass& pass, const UnmetDemand& unmet, std::vector<Place>& chosen) {
+    while (!chosen.empty() && pass.now.wall + chosen.back().costS > unmet.soonestS) {
+        if (unmet.job->wide_gang())
+            chosen.clear();
+        else
+            chosen.pop_back();
+    }
+}
+
+void Preemption::execute(Pass& pass, const UnmetDemand& unmet, const std::vector<Place>& chosen) {
+    const double stopS = kStopIntervals * context_.settings().heartbeatIntervalS;
+    Reservation reservation{{}, pass.now.wall};
+    for (const Place& place : chosen) {
+        const HostRecord& host = *pass.plan.records[place.machine];
+        reservation.hosts.push_back(host.name);
+        for (const TaskRef& victim : place.victims) {
+            pass.preempted.insert({victim.job, victim.index});
+            reservation.untilS =
+                std::max(reservation.untilS, pass.now.wall + victim.job->spec->checkpointWriteS + stopS);
+            if (context_.led_here(&host)) preempt_task(victim, host, *unmet.job, pass.now);
+        }
+    }
+    reservations_[unmet.job->id] = std::move(reservation);
+}
+
+void Preemption::preempt_task(const TaskRef& victim, const HostRecord& host, const state::Job& beneficiary,
+                              Timestamp now) {
+    HostTracker& tracker = hosts_.track(host.name);
+    if (!tracker.evict.try_emplace({victim.job->id, victim.index}, now.steady).second) return;
+    spdlog::info("preempt {}/{} on {} for {}", victim.job->id, victim.index, host.name, beneficiary.id);
+    schedule_.mark_due(host);
+}
+
+}  // namespace wellstair::scheduling
--- /dev/null
+++ b/src/scheduling/queue_order.cpp
@@ -0,0 +1,191 @@
+#include "scheduling/queue_order.hpp"
+
+#include <algorithm>
+#include <map>
+#include <string>
+#include <utility>
+
+#include "placement/overload.hpp"
+#include "placement/room.hpp"
+#include "scheduling/duration_estimates.hpp"
+
+namespace wellstair::scheduling {
+
+using placement::DueJob;
+using placement::Machine;
+using placement::RoomCurve;
+using state::Job;
+using state::JobState;
+using state::Task;
+using state::TaskState;
+
+namespace {
+
+constexpr double kTolerance = 1e-9;  // of amounts of resources
+// A running task counts for its estimate divided by this at least.
+constexpr double kLeastRemainingDivisor = 5;
+
+// Room by job class: the jobs of a class are mostly of one shape.
+using RoomByClass = std::map<std::string, RoomCurve>;
+
+// Puts what stands at these places of the queue into this order.
+void rearrange(std::vector<QueuedJob>& queue, const std::vector<std::size_t>& places,
+               const std::vector<std::size_t>& order) {
+    std::vector<QueuedJob> sorted;
+    sorted.reserve(order.size());
+    for (std::size_t k : order) sorted.push_back(queue[places[k]]);
+    for (std::size_t k = 0; k < places.size(); ++k) queue[places[k]] = sorted[k];
+}
+
+// Whether the jobs have one priority and are both within or both beyond the guarantees.
+bool same_group(const QueuedJob& a, const QueuedJob& b) {
+    return a.priority == b.priority && a.overQuota == b.overQuota;
+}
+
+}  // namespace
+
+std::set<const Job*> QueueOrder::jobs_over_quota() const {
+    struct Used {
+        double cores = 0, gpus = 0;
+    };
+    std::set<const Job*> overQuota;
+    std::map<std::string, Used> usedByTeam;
+    for (const auto& [order, job] : context_.state().queue()) {
+        if (job->state != JobState::active || job->done == job->spec->taskCount) continue;
+        const wire::JobSpec& spec = *job->spec;
+        Used& used = usedByTeam[spec.team];
+        const double left = spec.taskCount - job->done;
+        used.cores += spec.cores * left;
+        used.gpus += spec.gpus * left;
+        const config::Team* team = context_.settings().team(spec.team);
+        if (!team || used.cores > team->cpus + kTolerance || used.gpus > team->gpus + kTolerance) overQuota.insert(job);
+    }
+    return overQuota;
+}
+
+std::vector<QueuedJob> QueueOrder::ordered_queue(const std::vector<Machine>& machines, Timestamp now) const {
+    std::vector<QueuedJob> queue;
+    const std::set<const Job*> overQuota = jobs_over_quota();
+    for (const auto& [order, job] : context_.state().queue())
+        if (job->state == JobState::active && job->open() > 0)
+            queue.push_back({job, static_cast<int>(job->spec->priority), overQuota.count(job) > 0});
+    std::stable_sort(queue.begin(), queue.end(), [](const QueuedJob& a, const QueuedJob& b) {
+        return std::pair(a.priority, a.overQuota) < std::pair(b.priority, b.overQuota);
+    });
+    order_for_machines(queue, machines, now);
+    order_within_limits(queue, now);
+    put_lost_replicas_first(queue);
+    ageing_.put_aged_first(queue, now);
+    return queue;
+}
+
+void QueueOrder::put_lost_replicas_first(std::vector<QueuedJob>& queue) const {
+    // The queue is in the order of priorities by now.
+    for (auto first = queue.begin(); first != queue.end();) {
+        auto last = std::find_if(first, queue.end(),
+                                 [&](const QueuedJob& queued) { return queued.priority != first->priority; });
+        std::stable_partition(first, last, [](const QueuedJob& queued) { return queued.job->lost_replica(); });
+        first = last;
+    }
+}
+
+std::vector<double> QueueOrder::due_times(const wire::JobSpec& spec, bool overQuota) const {
+    std::vector<double> due;
+    for (const config::Objective& objective : context_.settings().objectives) {
+        const bool within = objective.withinS > 0;
+        // What is to start in time has to be over one run time later.
+        if (objective.kind == "guarantee" && !overQuota && within)
+            due.push_back(objective.withinS + spec.estimatedDurationS);
+        if (objective.jobClass != spec.jobClass) continue;
+        if (objective.kind == "deadline" && spec.deadlineS)
+            due.push_back(*spec.deadlineS * (objective.times > 0 ? objective.times : 1));
+        if (objective.kind == "finished" && within) due.push_back(objective.withinS);
+        if (objective.kind == "wait" && within) due.push_back(objective.withinS + spec.estimatedDurationS);
+    }
+    if (due.empty() && spec.deadlineS) due.push_back(*spec.deadlineS);
+    std::sort(due.begin(), due.end());
+    return due;
+}
+
+void QueueOrder::order_for_machines(std::vector<QueuedJob>& queue, const std::vector<Machine>& machines,
+                                    Timestamp now) const {
+    RoomByClass rooms;
+    double ahead = 0;  // what jobs of earlier groups take of all machines
+    for (std::size_t first = 0, last; first < queue.size(); first = last) {
+        std::vector<DueJob> jobs;
+        std::vector<const RoomCurve*> room;
+        std::vector<std::size_t> places;
+        double wanted = ahead;
+        bool lacking = false;
+        for (last = first; last < queue.size() && same_group(queue[first], queue[last]); ++last) {
+            QueuedJob& queued = queue[last];
+            const wire::JobSpec& spec = *queued.job->spec;
+            auto at = rooms.find(spec.jobClass);
+            if (at == rooms.end())
+                at = rooms.try_emplace(spec.jobClass, RoomCurve(machines, model_.request_of(*queued.job), now.wall))
+                         .first;
+            const RoomCurve& curve = at->second;
+            room.push_back(&curve);
+            places.push_back(last);
+            queued.share = curve.all() ? static_cast<double>(queued.job->open()) / curve.all() : 0;
+            const double waitedS = now.wall - static_cast<double>(queued.job->atS);
+            DueJob due{queued.share, 0, due_times(spec, queued.overQuota)};
+            for (double& dueS : due.due) dueS -= spec.estimatedDurationS + waitedS;  // to start by
+            due.due.push_back(JobAgeing::kGangLeases * context_.settings().leaseS - waitedS);
+            jobs.push_back(std::move(due));
+            wanted += queued.share;
+            lacking = lacking || wanted > curve.within(0);
+        }
+        if (lacking && jobs.size() > 1) {
+            const auto capacity = [&](std::size_t job, double dueS) { return room[job]->within(dueS); };
+            rearrange(queue, places, placement::order_by_due(jobs, capacity, ahead));
+        }
+        ahead = wanted;
+    }
+}
+
+void QueueOrder::order_within_limits(std::vector<QueuedJob>& queue, Timestamp now) const {
+    using TeamPriority = std::pair<std::string, int>;
+    std::map<TeamPriority, std::vector<std::size_t>> groups;
+    for (std::size_t i = 0; i < queue.size(); ++i)
+        if (!due_times(*queue[i].job->spec, queue[i].overQuota).empty())
+            groups[{queue[i].job->spec->team, queue[i].priority}].push_back(i);
+    for (const auto& [key, places] : groups) {
+        const config::Team* team = context_.settings().team(key.first);
+        if (team && places.size() >= 2) order_within_limit(queue, places, *team, now);
+    }
+}
+
+void QueueOrder::order_within_limit(std::vector<QueuedJob>& queue, const std::vector<std::size_t>& places,
+                                    const config::Team& team, Timestamp now) const {
+    double wanted = 0;
+    const bool byGpu = team.gpusMax > 0 && queue[places[0]].job->spec->gpus > 0;
+    const double limit = byGpu ? team.gpusMax : team.cpusMax;
+    std::vector<DueJob> jobs;
+    for (std::size_t place : places) {
+        const Job& job = *queue[place].job;
+        const wire::JobSpec& spec = *job.spec;
+        const double perTask = byGpu ? spec.gpus : spec.cores;
+        wanted += perTask * (spec.taskCount - job.done);
+        DueJob due{remaining_s(job, now) * perTask, spec.estimatedDurationS, due_times(spec, queue[place].overQuota)};
+        for (double& dueS : due.due) dueS -= now.wall - job.atS;
+        jobs.push_back(std::move(due));
+    }
+    if (limit <= 0 || wanted <= limit) return;
+    const auto capacity = [&](std::size_t, double dueS) { return limit * dueS; };
+    rearrange(queue, places, placement::order_by_due(jobs, capacity));
+}
+
+double QueueOrder::remaining_s(const Job& job, Timestamp now) const {
+    const double runS = turnover_s(*job.spec, context_.settings());
+    double remaining = job.open() * runS;
+    for (const state::Chunk& chunk : job.chunks) {
+        if (!chunk.placed) continue;
+        for (const Task& task : chunk.tasks)
+            if (task.state == TaskState::placed)
+                remaining += std::max(runS / kLeastRemainingDivisor, runS - (now.wall - task.atS));
+    }
+    return remaining;
+}
+
+}  // namespace wellstair::scheduling
