--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -25,7 +25,15 @@
       limits_(context_, assignment_, schedule_),
       failover_(context_, assignment_, cancellations_, hosts_, peers_, schedule_),
       cloudRole_(context_),
-      scaleIn_(context_, cancellations_, hosts_, cloudRole_, idleHosts_) {
+      scaleIn_(context_, cancellations_, hosts_, cloudRole_, idleHosts_),
+      eligibility_(context_, hosts_, peers_),
+      placementModel_(context_, eligibility_, hosts_, tunables_),
+      demand_(context_),
+      queueOrder_(context_, placementModel_),
+      heldBack_(context_),
+      preemption_(context_, schedule_, hosts_, placementModel_, queueOrder_),
+      planner_({context_, jobHistories_, eligibility_, placementModel_, demand_, queueOrder_, heldBack_, preemption_},
+               schedule_) {
     reset_state();
 }
 
@@ -189,7 +197,7 @@
         const int stage = (firstStage_ + i) % kStages;
         if (stage == 0) release_finished_tasks(builder, now);
         if (stage == 1) finish_jobs(builder);
-        if (stage == 2) place(builder, now);
+        if (stage == 2) planner_.place(builder, now);
     }
     firstStage_ = schedule_.round_due() ? (firstStage_ + 1) % kStages : 0;
     scaleIn_.propose(builder, now);
@@ -217,7 +225,8 @@
     peers::PeerStatus peerStatus{settings_.member, context_.incarnation(), storeAgeS, context_.serving(), {}};
     for (const auto& [name, n] : hosts_.all()) {
         const HostRecord* h = context_.state().host(name);
-        if (context_.led_here(h) && !usable(*h, now)) peerStatus.unusable.push_back({name, n.unreachable()});
+        if (context_.led_here(h) && !eligibility_.eligible(*h, now))
+            peerStatus.unusable.push_back({name, n.unreachable()});
     }
     peerStatus.sort();
     return peerStatus;
