--- a/tests/mixed_world.hpp
+++ b/tests/mixed_world.hpp
@@ -14,9 +14,10 @@
 #include <random>
 
 #include "controller/core.hpp"
+#include "in_memory_state_store.hpp"
 #include "leadership/availability.hpp"
 #include "leadership/cancellation_read_barrier.hpp"
-#include "world.hpp"
+#include "site_settings.hpp"
 
 namespace wellstair::test {
 
@@ -113,7 +114,7 @@
         int next = 0;
         while (now_ < kEnd && !testing::Test::HasFailure()) {
             now_ += kStep;
-            store_.at(now_);
+            store_.set_time(now_);
             if (scenario_.upgrade) upgrade();
             bool troubles = now_ > 15 && now_ < kTroublesUntil;
             if (troubles && scenario_.at)
@@ -281,7 +282,7 @@
                 nodes_[i].replaced = true;
                 crash(i, 3);
             }
-        if (once(kLimitsFall)) store_.impose(kFallenLimits);
+        if (once(kLimitsFall)) store_.enforce_limits(kFallenLimits);
     }
     // A member's lease ends when it is not renewed, but not in an outage, and has its full time again after that.
     void end_member_leases() {
@@ -1039,7 +1040,7 @@
     std::map<std::string, double> zoneCutUntil_;
     int starts_ = 0, services_ = 0;
     double now_ = 0;
-    Store store_;
+    InMemoryStateStore store_;
     std::deque<Node> nodes_;
     std::deque<Worker> workers_;
     std::map<std::string, JobNote> jobs_;
--- a/tests/production_data.hpp
+++ b/tests/production_data.hpp
@@ -6,14 +6,14 @@
 #include <string>
 #include <vector>
 
-#include "world.hpp"
+#include "in_memory_state_store.hpp"
 
 namespace wellstair::test {
 
-inline std::vector<Store::Change> production_state() {
+inline std::vector<InMemoryStateStore::Change> production_state() {
     std::ifstream file(std::string(DATA) + "/production-state.jsonl");
     if (!file) throw std::runtime_error("no kept state");
-    std::vector<Store::Change> out;
+    std::vector<InMemoryStateStore::Change> out;
     std::string line;
     while (std::getline(file, line)) {
         wire::Json change = wire::Json::parse(line);
@@ -34,7 +34,7 @@
 }
 
 // Plays production's writes into a store, one transaction for each revision.
-inline void load_production_state(Store& store) {
+inline void load_production_state(InMemoryStateStore& store) {
     auto changes = production_state();
     for (std::size_t i = 0; i < changes.size();) {
         wire::Json apply = wire::Json::array();
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "controller/core.hpp"
-#include "world.hpp"
+#include "in_memory_state_store.hpp"
 
 using namespace wellstair;
 
@@ -15,7 +15,7 @@
     settings.heartbeatIntervalS = 3, settings.leaseS = 20, settings.cancelS = 45;
     settings.valueKb = 8, settings.transactionOperations = 16;
     controller::Core core(settings, {}, 1);
-    test::Store store;
+    test::InMemoryStateStore store;
     double wall = 1'000'000;
     auto sync = [&] {
         for (const auto& c : store.log)
--- a/tests/stored_story.hpp
+++ b/tests/stored_story.hpp
@@ -7,8 +7,9 @@
 #include <vector>
 
 #include "controller/core.hpp"
+#include "in_memory_state_store.hpp"
 #include "peers/packet.hpp"
-#include "world.hpp"
+#include "site_settings.hpp"
 
 namespace wellstair::test {
 
@@ -27,7 +28,7 @@
         b_.settings.member = "b", b_.settings.location = "b", b_.settings.members = {{"a", "a", {}}};
     }
 
-    const std::vector<Store::Change>& tell() {
+    const std::vector<InMemoryStateStore::Change>& tell() {
         write({{{"set", "ws/types"}, {"data", machine_types()}}});
         join(a_, 11);
         join(b_, 12);
@@ -171,7 +172,7 @@
 
     MemberValue member_;
     double time_ = 100;
-    Store store_;
+    InMemoryStateStore store_;
     Controller a_, b_;
 };
 
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -5,7 +5,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "world.hpp"
+#include "trace_runner.hpp"
 
 namespace {
 
@@ -22,7 +22,7 @@
 TEST_P(Trace, Replays) {
     std::ifstream file(std::string(TRACES) + "/" + GetParam() + ".trace");
     ASSERT_TRUE(file);
-    wellstair::test::World world;
+    wellstair::test::TraceRunner runner;
     std::string line, answer, command;
     int number = 0, expectations = 0;
     while (std::getline(file, line)) {
@@ -33,7 +33,7 @@
             EXPECT_EQ(line.substr(2), answer) << GetParam() << ".trace:" << number << " after: " << command;
         } else {
             command = line;
-            answer = world.run(line);
+            answer = runner.run(line);
         }
     }
     EXPECT_GT(expectations, 0) << "a trace that expects nothing shows nothing";
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -18,7 +18,7 @@
 // A controller on production's data. Time passes by a quarter of a second a round.
 class Upgraded {
   public:
-    explicit Upgraded(test::Store& store, std::optional<config::StateLimits> next = kNext,
+    explicit Upgraded(test::InMemoryStateStore& store, std::optional<config::StateLimits> next = kNext,
                       std::uint64_t incarnation = 21)
         : store_(store) {
         settings_ = test::site_settings();
@@ -67,7 +67,7 @@
 
     std::string round() {
         time_ += 0.25;
-        store_.at(time_);
+        store_.set_time(time_);
         core_->advance_time(now());
         return commit(core_->round(now()));
     }
@@ -82,14 +82,14 @@
     }
 
   private:
-    test::Store& store_;
+    test::InMemoryStateStore& store_;
     config::Settings settings_;
     std::unique_ptr<controller::Core> core_;
     double time_ = 200;
 };
 
 // Every machine of the story with its leader, fencing token, address and mark, in exactly one range.
-std::map<std::string, state::HostEntry> machines_of(const test::Store& store) {
+std::map<std::string, state::HostEntry> machines_of(const test::InMemoryStateStore& store) {
     std::map<std::string, state::HostEntry> out;
     for (const auto& [key, value] : store.keys()) {
         if (!key.starts_with("ws/hosts/")) continue;
@@ -142,7 +142,7 @@
 }
 
 TEST(Upgrade, ReadsAllThatProductionStored) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     Upgraded a(store);
     state::StateCache& state = a.state();
@@ -198,7 +198,7 @@
 }
 
 TEST(Upgrade, TheSwitchWaitsForAllMembers) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     Upgraded a(store);
     a.rounds(20);
@@ -213,7 +213,7 @@
 
 // Without state.next nothing changes, whoever runs.
 TEST(Upgrade, NoSwitchWithoutAnnouncedLimits) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     Upgraded a(store, std::nullopt);
     a.other_is_new();
@@ -226,7 +226,7 @@
 // A process that comes back old replaces its member record: the switch decided before does not apply. And what an old
 // process sent before its end fails on its own member record.
 TEST(Upgrade, TheSwitchAndLateTransactionsExcludeOneAnother) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     Upgraded a(store);
     a.other_is_new();
@@ -248,7 +248,7 @@
 }
 
 TEST(Upgrade, DividedRangesKeepEveryMachineAndTask) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     const auto before = machines_of(store);
     Upgraded a(store);
@@ -269,7 +269,7 @@
 
 // A process may end after any transaction; whoever comes next goes on from the store alone.
 TEST(Upgrade, DividingGoesOnAfterAnEndAtEachTransaction) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     const std::size_t machines = machines_of(store).size();
     std::size_t tasks = 0;
@@ -297,9 +297,9 @@
 // The limits are in force before anything was divided, with one member away: its return to the cloud, and every other
 // change of a machine in a range that is too large, goes through all the same.
 TEST(Upgrade, WorksWhenTheLimitsFallFirst) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
-    store.impose(kNext);
+    store.enforce_limits(kNext);
     Upgraded a(store);
     a.put("ws/members/b", state::MemberData{12, "b", 0}.encode());
     a.rounds(200);
@@ -320,7 +320,7 @@
 
 // A range of production that is as large as a value could be is divided by its first change, in one transaction.
 TEST(Upgrade, TheLargestRangeIsDividedByItsFirstChange) {
-    test::Store store;
+    test::InMemoryStateStore store;
     std::vector<state::HostEntry> hosts;
     while (state::encode_shard(hosts).dump().size() < 8 * 1024 - 80) {
         state::HostEntry host;
@@ -334,7 +334,7 @@
     setup.put("ws/hosts/a/3", state::encode_shard(hosts));
     setup.other_is_new();
     setup.round();
-    store.impose(kNext);
+    store.enforce_limits(kNext);
     auto builder = setup.core().new_transaction();
     ASSERT_TRUE(builder.mark_for_return(hosts[50].name, "a", 1'000'300, false, "test"));
     EXPECT_EQ(setup.commit(builder).substr(0, 2), "ok");
@@ -346,7 +346,7 @@
 // state.next, which like production never divides). It reads every machine and takes them over where they stand, large
 // transactions of its are refused, and a new process then goes on.
 TEST(Upgrade, AnOldProcessAfterTheSwitchDoesNoHarm) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     {
         Upgraded before(store);
@@ -355,7 +355,7 @@
     }
     const std::size_t machines = machines_of(store).size();
     for (bool fallen : {false, true}) {
-        if (fallen) store.impose(kNext);
+        if (fallen) store.enforce_limits(kNext);
         Upgraded old(store, std::nullopt, fallen ? 61 : 60);
         old.put("ws/members/a", state::MemberData{fallen ? 61u : 60u, "a", 0}.encode());
         old.rounds(80);
@@ -377,7 +377,7 @@
 // New machines of a divided range are registered where everybody looks for them first, and never in two places: two
 // processes that register the same machine both change the undivided range's key.
 TEST(Upgrade, TwoRegistrationsOfOneMachineExcludeOneAnother) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     Upgraded a(store);
     a.other_is_new();
@@ -396,7 +396,7 @@
 // A reader that begins while a range is being divided: it has read the range before and the parts after the change, and
 // then sees the change once more.
 TEST(Upgrade, AReaderInTheMiddleOfADivisionAgrees) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     Upgraded a(store);
     a.other_is_new();
@@ -418,7 +418,7 @@
         };
         for (const auto& [key, value] : store.keys()) read(key == shard ? before : store.keys(), key);
         reader.advance(revision);
-        std::vector<test::Store::Change> changes;
+        std::vector<test::InMemoryStateStore::Change> changes;
         for (const auto& change : store.log)
             if (change.revision > revision) changes.push_back(change);
         if (!shardFirst) std::reverse(changes.begin(), changes.end());
@@ -434,7 +434,7 @@
 
 // Moving a machine is no new registration: nothing noted about it is lost, and its tasks stay where they are.
 TEST(Upgrade, MovingAMachineProvesNothing) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     Upgraded a(store);
     a.other_is_new();
@@ -458,14 +458,14 @@
 // All machines come to a process that keeps none of them: a small transaction takes whole ranges, not as many
 // single machines as it has operations. One machine a write took minutes of the state service's rate.
 TEST(Upgrade, TakeOverByReportsTakesWholeRanges) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     {
         Upgraded before(store);
         before.other_is_new();
         before.rounds(80);
     }
-    store.impose(kNext);
+    store.enforce_limits(kNext);
     Upgraded a(store, kNext, 50);
     std::size_t shards = 0;
     for (const auto& [key, value] : store.keys()) shards += key.starts_with("ws/hosts/");
@@ -499,7 +499,7 @@
 
 // A gang of 16 on machines of 16 ranges has more keys to compare than 20 (or, with four operations, 16) conditions.
 TEST_P(WideGangs, StartUnderLowLimits) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     config::StateLimits next = kNext;
     next.transactionOperations = GetParam();
@@ -513,7 +513,7 @@
         host.address = "10.1.0.1:9000", host.machineType = "c8";
         a.put("ws/hosts/a/" + std::to_string(100 + i), state::encode_shard({host}));
     }
-    store.impose(next);
+    store.enforce_limits(next);
     a.rounds(200);
     std::vector<std::pair<std::uint32_t, state::HostRecord*>> tasks;
     std::set<state::HostShard*> shards;
@@ -548,7 +548,7 @@
 
 // A refusal that the announced limits do not explain: the key rests, and other work goes on.
 TEST(Upgrade, ARefusedKeyDoesNotStopOtherWork) {
-    test::Store store;
+    test::InMemoryStateStore store;
     test::load_production_state(store);
     Upgraded a(store);
     a.other_is_new();
