--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,6 +1,9 @@
-// A job of 100,000 tasks within the state service's limits: every transaction small enough, and done as ranges.
+// Jobs and teams at the scale of the state service's limits: every transaction is small enough, and writes a key once.
 #include <gtest/gtest.h>
 
+#include <algorithm>
+#include <set>
+
 #include "controller/core.hpp"
 #include "in_memory_state_store.hpp"
 
@@ -8,38 +11,66 @@
 
 namespace {
 
-TEST(Scale, AJobOfAHundredThousandTasks) {
+constexpr std::uint32_t kTasks = 100000;
+constexpr std::size_t kTransactionBytes = 64 * 1024;
+constexpr std::size_t kValueBytes = 8 * 1024;
+
+config::Settings scale_settings() {
     config::Settings settings;
-    settings.member = "a", settings.location = "a";
+    settings.member = "a";
+    settings.location = "a";
     settings.teams = {{"blue", 0, 0, 0, 0}};
-    settings.heartbeatIntervalS = 3, settings.leaseS = 20, settings.cancelS = 45;
-    settings.valueKb = 8, settings.transactionOperations = 16;
-    controller::Core core(settings, {}, 1);
-    test::InMemoryStateStore store;
-    double wall = 1'000'000;
-    auto sync = [&] {
-        for (const auto& c : store.log)
-            if (c.revision > core.state().revision())
-                core.state().apply(c.path, c.data ? &*c.data : nullptr, c.revision, wall);
-        core.state().advance(store.revision);
+    settings.heartbeatIntervalS = 3;
+    settings.leaseS = 20;
+    settings.cancelS = 45;
+    settings.valueKb = 8;
+    settings.transactionOperations = 16;
+    return settings;
+}
+
+// One controller with one machine of 200 cores, and the sizes of what it commits.
+class LargeJobRun {
+  public:
+    void start() {
+        wire::Json type = {{"sku", "big"},     {"cores", 200}, {"gpus", 0},      {"ramGb", 400},  {"cacheGb", 50},
+                           {"fetchGbPerS", 1}, {"rate", 1},    {"startupS", 20}, {"halls", {"a"}}};
+        wire::Json types;
+        types["builds"].push_back(type);
+        put("ws/types", types);
+        put("ws/members/a", {{"inc", 1}});
+        state::HostEntry entry;
+        entry.name = "n-1", entry.leader = "a", entry.incarnation = 1, entry.fencingToken = 3,
+        entry.machineType = "big";
+        put(core.state().shard_of("n-1", "a").key, state::encode_shard({entry}));
+        sync();
+        core.set_state_ready(true);
+        core.set_availability(state::Availability::serving, {});
+    }
+
+    // Reads all changes, and forgets them to save memory.
+    void sync() {
+        constexpr double kWallS = 1'000'000;
+        test::read_changes(store, core.state(), kWallS);
         store.log.clear();
-    };
-    std::size_t largestTransaction = 0, largestValue = 0;
-    auto commit = [&](const state::TransactionBuilder& builder) {
+    }
+
+    // Commits and checks that the transaction is within the limits.
+    void commit(const state::TransactionBuilder& builder) {
         auto transaction = builder.build();
         largestTransaction = std::max(largestTransaction, transaction.body.dump().size());
         int writes = 0;
-        for (const auto& op : transaction.body["apply"]) {
+        for (const auto& operation : transaction.body["apply"]) {
             ++writes;
-            if (op.contains("data")) largestValue = std::max(largestValue, op["data"].dump().size());
+            if (operation.contains("data")) largestValue = std::max(largestValue, operation["data"].dump().size());
         }
         EXPECT_EQ(writes, transaction.writes);
         EXPECT_LE(writes, settings.transactionOperations);
         EXPECT_LE(transaction.body["when"].size(), 4u * settings.transactionOperations);
         ASSERT_TRUE(store.commit(transaction.body).starts_with("ok"));
         sync();
-    };
-    auto put = [&](const std::string& path, wire::Json data) {
+    }
+
+    void put(const std::string& path, wire::Json data) {
         wire::Json set;
         set["set"] = path;
         set["data"] = std::move(data);
@@ -47,72 +78,88 @@
         transaction["when"] = wire::Json::array();
         transaction["apply"].push_back(std::move(set));
         ASSERT_TRUE(store.commit(transaction).starts_with("ok"));
-    };
-    wire::Json type = {{"sku", "big"},     {"cores", 200}, {"gpus", 0},      {"ramGb", 400},  {"cacheGb", 50},
-                       {"fetchGbPerS", 1}, {"rate", 1},    {"startupS", 20}, {"halls", {"a"}}};
-    wire::Json types;
-    types["builds"].push_back(type);
-    put("ws/types", types);
-    put("ws/members/a", {{"inc", 1}});
-    state::HostEntry entry;
-    entry.name = "n-1", entry.leader = "a", entry.incarnation = 1, entry.fencingToken = 3, entry.machineType = "big";
-    put(core.state().shard_of("n-1", "a").key, state::encode_shard({entry}));
-    sync();
-    core.set_state_ready(true);
-    core.set_availability(state::Availability::serving, {});
+    }
 
-    wire::JobSpec spec;
-    spec.id = "j-1", spec.jobClass = "work", spec.team = "blue", spec.image = "img";
-    spec.taskCount = 100000, spec.cores = 1, spec.ramGb = 1, spec.estimatedDurationS = 10;
-    auto builder = core.new_transaction();
-    ASSERT_TRUE(builder.submit(spec, "a", 1'000'000));
-    commit(builder);
-    auto* job = core.state().job("j-1");
-    ASSERT_TRUE(job);
+    void submit_job() {
+        wire::JobSpec spec;
+        spec.id = "j-1", spec.jobClass = "work", spec.team = "blue", spec.image = "img";
+        spec.taskCount = kTasks, spec.cores = 1, spec.ramGb = 1, spec.estimatedDurationS = 10;
+        auto builder = core.new_transaction();
+        ASSERT_TRUE(builder.submit(spec, "a", 1'000'000));
+        commit(builder);
+    }
 
-    // All tasks run to their end, a transaction's worth at a time, on one machine. The next round's placements are
-    // taken back by hand-made ends, as a leader would after its proofs.
-    auto* host = core.state().host("n-1");
-    std::uint32_t next = 0;
-    while (job->done < spec.taskCount) {
+    // Places the next tasks on the one machine, as many as fit a transaction.
+    void place_tasks(state::Job& job, std::uint32_t& next) {
+        constexpr std::uint32_t kMostAtOnce = 400;
+        auto* host = core.state().host("n-1");
         auto place = core.new_transaction();
-        std::uint32_t first = next;
-        while (next < spec.taskCount && next - first < 400 && place.place(*job, {{next, host}}, 1, 1'000'000)) ++next;
+        const std::uint32_t first = next;
+        while (next < kTasks && next - first < kMostAtOnce && place.place(job, {{next, host}}, 1, 1'000'000)) ++next;
         ASSERT_GT(next, first);
         commit(place);
-        while (job->placed > 0) {
-            auto clear = core.new_transaction();
-            auto placed = host->placed;
+    }
+
+    // Marks all placed tasks as done, as a leader does when their ends are proven.
+    void complete_placed_tasks(state::Job& job) {
+        auto* host = core.state().host("n-1");
+        while (job.placed > 0) {
+            auto release = core.new_transaction();
+            const auto placed = host->placed;
             bool any = false;
             for (const auto& ref : placed) {
-                if (!clear.release_task(*job, ref.index, state::TaskState::done)) break;
+                if (!release.release_task(job, ref.index, state::TaskState::done)) break;
                 any = true;
             }
             ASSERT_TRUE(any);
-            commit(clear);
+            commit(release);
+        }
+    }
+
+    void collect_orphaned_chunks() {
+        while (!core.state().orphaned_chunks().empty()) {
+            auto garbage_collect = core.new_transaction();
+            for (const auto& [path, revision] : core.state().orphaned_chunks())
+                if (!garbage_collect.garbage_collect(path, revision)) break;
+            commit(garbage_collect);
         }
     }
-    EXPECT_LE(largestTransaction, 64u * 1024);
-    EXPECT_LE(largestValue, 8u * 1024);
 
-    // Its end is one transaction; the chunks left behind are swept in later ones.
+    const config::Settings settings = scale_settings();
+    controller::Core core{settings, {}, 1};
+    test::InMemoryStateStore store;
+    std::size_t largestTransaction = 0;  // bytes
+    std::size_t largestValue = 0;        // bytes
+};
+
+TEST(Scale, AJobOfAHundredThousandTasks) {
+    LargeJobRun run;
+    run.start();
+    run.submit_job();
+    controller::Core& core = run.core;
+    auto* job = core.state().job("j-1");
+    ASSERT_TRUE(job);
+    std::uint32_t next = 0;
+    while (job->done < kTasks && !testing::Test::HasFatalFailure()) {
+        run.place_tasks(*job, next);
+        run.complete_placed_tasks(*job);
+    }
+    EXPECT_LE(run.largestTransaction, kTransactionBytes);
+    EXPECT_LE(run.largestValue, kValueBytes);
+
+    // Its end is one transaction; the chunks left behind are removed in later ones.
     auto finish = core.new_transaction();
     ASSERT_TRUE(finish.finish(*job, state::JobState::done));
-    commit(finish);
+    run.commit(finish);
     ASSERT_TRUE(core.state().final("j-1"));
     EXPECT_EQ(core.state().orphaned_chunks().size(), 4000u);
-    while (!core.state().orphaned_chunks().empty()) {
-        auto garbage_collect = core.new_transaction();
-        for (const auto& [path, revision] : core.state().orphaned_chunks())
-            if (!garbage_collect.garbage_collect(path, revision)) break;
-        commit(garbage_collect);
-    }
-    EXPECT_EQ(store.revision_of("ws/steps/j-1/0"), 0u);
+    run.collect_orphaned_chunks();
+    EXPECT_EQ(run.store.revision_of("ws/steps/j-1/0"), 0u);
     EXPECT_EQ(core.state().teams().at("blue").total.cores, 0);
 }
 
-// A user's repeats in one batch, or two reasons to return one machine, must not write a key twice in a transaction:
-// what the state service makes of that is not said.
+// A user's repeated submissions in one batch, or two reasons to return one machine, must not write a key twice in a
+// transaction: the protocol does not say what the state service makes of that.
 TEST(Scale, AKeyIsWrittenOnceInATransaction) {
     config::Settings settings;
     settings.member = "a";
@@ -135,9 +182,9 @@
     for (const auto& op : transaction.body["apply"]) EXPECT_TRUE(paths.insert(op["set"]).second) << op["set"];
 }
 
-// Many teams in one transaction, each of which deals its parts of the limit anew with its second job: the keys that
+// Many teams in one transaction, each of which assigns the shares of its quota anew with its second job: the keys that
 // this writes count, too. Left out, the state service refused such a transaction as too large, again and again.
-TEST(Scale, DealingTeamLimitsAnewFitsTheTransaction) {
+TEST(Scale, ReassigningQuotaSharesFitsTheTransaction) {
     config::Settings settings;
     settings.member = "a", settings.location = "a";
     settings.members = {{"b", "a", {}}};
@@ -161,7 +208,7 @@
         apply("ws/jobs/" + spec.id, {{"s", to_json(spec)}, {"at", 0}});
         apply("ws/active/" + spec.id, {{"o", "a"}});
     }
-    // Room for one job in the part of each team.
+    // Room for one job in the share of each team.
     for (int i = 0; i < teams; ++i)
         apply("ws/teams/team-" + std::to_string(i),
               {{"a", wire::Json::array({10000, 0})}, {"b", wire::Json::array({0, 0})}});
--- /dev/null
+++ b/tests/shard_split_test.cpp
@@ -0,0 +1,168 @@
+// Shards that are too large for the announced limits are split: every machine and task is kept, whenever a process
+// crashes and whoever reads or registers meanwhile.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+
+#include "production_data.hpp"
+#include "site_settings.hpp"
+#include "upgrade_fixture.hpp"
+
+using namespace wellstair;
+using namespace wellstair::test;
+
+namespace {
+
+TEST(Upgrade, SplitShardsKeepEveryMachineAndTask) {
+    InMemoryStateStore store;
+    load_production_state(store);
+    const auto before = machines_of(store);
+    UpgradedController a(store);
+    const std::size_t tasks = placed_tasks(a.state());
+    a.other_is_new();
+    ASSERT_TRUE(a.round().starts_with("ok"));
+    ASSERT_EQ(a.core().state_limits(), kNextLimits);
+    // Only splitting: in rounds, the machines of the process that has ended would be registered anew as well.
+    while (state::HostShard* large = oversized_shard(a.state())) {
+        state::TransactionBuilder builder = a.core().new_transaction();
+        ASSERT_TRUE(builder.split(*large)) << large->key;
+        ASSERT_TRUE(a.commit(builder).starts_with("ok")) << large->key;
+    }
+    EXPECT_LE(a.largest_value(), kNextLimits.value_bytes());
+    EXPECT_EQ(machines_of(store), before);
+    EXPECT_EQ(placed_tasks(a.state()), tasks);
+}
+
+// A process may end after any transaction; whoever comes next goes on from the store alone.
+TEST(Upgrade, SplittingContinuesAfterACrashAtEachTransaction) {
+    InMemoryStateStore store;
+    load_production_state(store);
+    const std::size_t machines = machines_of(store).size();
+    std::size_t tasks = 0;
+    {
+        UpgradedController before(store);
+        tasks = placed_tasks(before.state()) - before.state().host("n-000008")->placed.size();  // which is gone
+    }
+    std::uint64_t incarnation = 30;
+    for (int transactions = 0; transactions < 60; ++transactions) {
+        UpgradedController a(store, kNextLimits, ++incarnation);
+        if (transactions == 0) a.other_is_new();
+        a.rounds(1);  // and it ends
+        EXPECT_EQ(machines_of(store).size(), machines) << "after transaction " << transactions;
+    }
+    UpgradedController a(store, kNextLimits, ++incarnation);
+    a.rounds(60);
+    EXPECT_LE(a.largest_value(), kNextLimits.value_bytes());
+    EXPECT_EQ(placed_tasks(a.state()), tasks);
+    for (const auto& [name, host] : machines_of(store))
+        if (host.leaving != state::Leaving::gone) {
+            EXPECT_EQ(host.incarnation, incarnation) << name;
+        }
+}
+
+// A shard of production that is as large as a value could be is split by its first change, in one transaction.
+TEST(Upgrade, TheLargestShardIsSplitByItsFirstChange) {
+    InMemoryStateStore store;
+    std::vector<state::HostEntry> hosts;
+    while (state::encode_shard(hosts).dump().size() < 8 * 1024 - 80) {
+        state::HostEntry host;
+        host.name = "n-" + std::to_string(1'000'000 + hosts.size());
+        host.leader = "stairhost-" + std::to_string(hosts.size() % 5), host.incarnation = 0xfffffffffffff;
+        host.fencingToken = 1'000'000, host.address = "10.100.100.100:10000", host.machineType = "c8";
+        hosts.push_back(host);
+    }
+    UpgradedController setup(store);
+    setup.put("ws/types", machine_types());
+    setup.put("ws/hosts/a/3", state::encode_shard(hosts));
+    setup.other_is_new();
+    setup.round();
+    store.enforce_limits(kNextLimits);
+    auto builder = setup.core().new_transaction();
+    ASSERT_TRUE(builder.mark_for_return(hosts[50].name, "a", 1'000'300, false, "test"));
+    EXPECT_EQ(setup.commit(builder).substr(0, 2), "ok");
+    EXPECT_EQ(machines_of(store).size(), hosts.size());
+    EXPECT_EQ(machines_of(store).at(hosts[50].name).leaving, state::Leaving::marked);
+}
+
+// New machines of a split shard are registered where everybody looks for them first, and never in two places: two
+// processes that register the same machine both change the key of the shard as it was before the split.
+TEST(Upgrade, TwoRegistrationsOfOneMachineExcludeOneAnother) {
+    InMemoryStateStore store;
+    load_production_state(store);
+    UpgradedController a(store);
+    a.other_is_new();
+    a.rounds(80);
+    wire::Heartbeat heartbeat;
+    heartbeat.host = "n-000403", heartbeat.address = "10.1.1.1:9000", heartbeat.machineType = "c8",
+    heartbeat.zone = "a";
+    auto first = a.core().new_transaction(), second = a.core().new_transaction();
+    ASSERT_TRUE(first.acquire(heartbeat, "a", 21));
+    ASSERT_TRUE(second.acquire(heartbeat, "b", 22));
+    EXPECT_TRUE(store.commit(first.build().body).starts_with("ok"));
+    EXPECT_TRUE(store.commit(second.build().body).starts_with("conflict ws/hosts/a/1"));
+    machines_of(store);
+}
+
+// A reader that begins while a shard is being split: it has read the shard before and its parts after the change, and
+// then sees the change once more.
+TEST(Upgrade, AReaderInTheMiddleOfASplitAgrees) {
+    InMemoryStateStore store;
+    load_production_state(store);
+    UpgradedController a(store);
+    a.other_is_new();
+    a.round();
+    const auto before = store.keys();
+    const std::uint64_t revision = store.revision;
+    state::HostShard* large = oversized_shard(a.state());
+    ASSERT_TRUE(large);
+    const std::string shard = large->key;
+    auto builder = a.core().new_transaction();
+    ASSERT_TRUE(builder.split(*large));
+    ASSERT_TRUE(a.commit(builder).starts_with("ok"));
+
+    const state::LayoutRecord layout = a.core().own_layout();
+    for (bool shardFirst : {true, false}) {
+        state::StateCache reader(layout.chunkSize, layout.shardWidth);
+        auto read = [&](const auto& keys, const std::string& key) {
+            reader.apply(key, &keys.at(key).first, keys.at(key).second, 0);
+        };
+        for (const auto& [key, value] : store.keys()) read(key == shard ? before : store.keys(), key);
+        reader.advance(revision);
+        std::vector<InMemoryStateStore::Change> changes;
+        for (const auto& change : store.log)
+            if (change.revision > revision) changes.push_back(change);
+        if (!shardFirst) std::reverse(changes.begin(), changes.end());
+        for (const auto& c : changes) reader.apply(c.path, c.data ? &*c.data : nullptr, c.revision, 0);
+        reader.advance(store.revision);
+        for (const auto& [name, host] : machines_of(store)) {
+            auto* record = reader.host(name);
+            ASSERT_TRUE(record && record->shard) << name;
+            EXPECT_EQ(static_cast<state::HostEntry&>(*record), host) << name;
+        }
+    }
+}
+
+// Moving a machine is no new registration: nothing noted about it is lost, and its tasks stay where they are.
+TEST(Upgrade, MovingAMachineIsNoRegistration) {
+    InMemoryStateStore store;
+    load_production_state(store);
+    UpgradedController a(store);
+    a.other_is_new();
+    a.round();
+    int registered = 0, removed = 0;
+    auto registration = a.state().on_registered;
+    a.state().on_registered = [&](state::HostRecord& h) { ++registered, registration(h); };
+    a.state().on_removed = [&](state::HostRecord&) { ++removed; };
+    const double seen = a.state().host("n-000400")->registeredS;
+    while (state::HostShard* large = oversized_shard(a.state())) {
+        auto builder = a.core().new_transaction();
+        ASSERT_TRUE(builder.split(*large));
+        a.commit(builder);
+    }
+    EXPECT_EQ(registered, 0);
+    EXPECT_EQ(removed, 0);
+    EXPECT_EQ(a.state().host("n-000400")->registeredS, seen);
+    EXPECT_NE(a.state().host("n-000400")->shard->part, 0u);
+}
+
+}  // namespace
--- /dev/null
+++ b/tests/simulation/cluster_controllers.cpp
@@ -0,0 +1,140 @@
+// What the controllers of a simulated run do in a step, as the service does: renew the member lease, read the state,
+// exchange status with peers, plan a round, and commit it.
+#include <algorithm>
+#include <utility>
+
+#include "leadership/availability.hpp"
+#include "simulation/simulated_cluster.hpp"
+
+namespace wellstair::test {
+
+namespace {
+
+constexpr std::uint64_t kReadRequestsPerProcess = 1'000'000;  // request numbers of processes do not overlap
+constexpr double kPeerPacketLost = 0.1;                       // share of exchanges with a peer that are lost
+constexpr double kSlowReadSucceeds = 0.1;                     // share of reads that succeed while reads are slow
+
+}  // namespace
+
+bool SimulatedCluster::commit(SimulatedController& controller, const state::TransactionBuilder& builder) {
+    return !builder.empty() && commit(controller, builder.build().body);
+}
+
+bool SimulatedCluster::commit(SimulatedController& controller, const wire::Json& body) {
+    if (!state_.has_store(controller)) return false;
+    if (random_.chance(state_.scenario.lostTransactionReplies) && before_faults_end()) {
+        // No reply: it is applied later, or never.
+        if (random_.chance(0.7)) {
+            const double longestS = random_.chance(0.5) ? 12 : 60;
+            delayedTransactions_.push_back({state_.nowS + random_.between(0.5, longestS), body});
+        }
+        return false;
+    }
+    const std::string result = state_.store.commit(body);
+    const bool applied = result.starts_with("ok");
+    if (result.starts_with("malformed"))
+        controller.core->handle_rejected_transaction(written_keys(body), state_.timestamp());
+    if (applied || state_.nowS >= controller.slowReadsUntilS) state_.sync(controller);
+    if (!applied) controller.core->request_replan();
+    return applied;
+}
+
+void SimulatedCluster::start_process(SimulatedController& controller) {
+    controller.incarnation = ++incarnations_;
+    controller.readBarrier = leadership::CancellationReadBarrier(controller.incarnation * kReadRequestsPerProcess);
+    controller.runsOldVersion = !controller.replaced;
+    const bool limitsAnnounced = state_.scenario.upgrade && !controller.runsOldVersion;
+    controller.settings.nextState = limitsAnnounced ? std::optional(kLoweredStateLimits) : std::nullopt;
+    controller.core =
+        std::make_unique<controller::Core>(controller.settings, controller::Tunables{}, controller.incarnation);
+    controller.lastStoreAnswerS = state_.nowS;
+    state_.sync(controller);
+    controller.core->set_state_ready(true);
+    state_.write_unconditionally({{{"set", controller.member_key()}, {"data", controller.member_data()}}});
+    controller.memberLeaseUntilS = state_.nowS + kMemberTtlS;
+}
+
+void SimulatedCluster::renew_member_lease(SimulatedController& controller) {
+    controller.lastStoreAnswerS = state_.nowS;
+    if (state_.nowS >= controller.slowReadsUntilS || random_.chance(kSlowReadSucceeds)) state_.sync(controller);
+    if (!controller.core->member_revision() || state_.nowS > controller.memberLeaseUntilS) {
+        state_.write_unconditionally({{{"set", controller.member_key()}, {"data", controller.member_data()}}});
+        state_.sync(controller);
+    }
+    controller.memberLeaseUntilS = state_.nowS + kMemberTtlS;
+}
+
+void SimulatedCluster::exchange_peer_status(SimulatedController& controller) {
+    const auto requestNumber = controller.readBarrier.next_request(state_.nowS);
+    for (SimulatedController& peer : state_.controllers) {
+        if (&peer == &controller || !peer.core) continue;
+        if (state_.nowS < std::max(peer.peersCutUntilS, controller.peersCutUntilS)) continue;
+        if (state_.partitioned(controller.settings.location, peer.settings.location)) continue;
+        if (random_.chance(kPeerPacketLost)) continue;
+        controller.core->record_cancellations(peer.core->cancellations());
+        controller.readBarrier.acknowledge(peer.settings.member, peer.incarnation, requestNumber);
+        const double storeAgeS = state_.nowS - peer.lastStoreAnswerS;
+        controller.core->set_peer_status(peer.core->own_peer_status(storeAgeS, state_.timestamp()), state_.timestamp());
+    }
+}
+
+void SimulatedCluster::update_availability(SimulatedController& controller) {
+    leadership::AvailabilitySignals signals;
+    signals.registered = controller.core->member_revision() != 0;
+    signals.hasPeers = true;
+    signals.storeAgeS = state_.nowS - controller.lastStoreAnswerS;
+    signals.stateReadAgeS =
+        state_.nowS -
+        std::max(controller.lastReadS, controller.readBarrier.acknowledged_until(controller.core->others()));
+    signals.peerHeard = controller.core->peer_heard(state_.timestamp());
+    signals.peerHasStore = controller.core->peer_has_store(state_.timestamp());
+    controller.core->set_availability(
+        leadership::next_availability(controller.core->availability(), signals, {kCancelS, kLeaseS}),
+        state_.timestamp());
+}
+
+void SimulatedCluster::plan(SimulatedController& controller) {
+    if (!controller.core) {
+        if (state_.nowS < controller.restartAtS || !state_.has_store(controller)) return;
+        start_process(controller);
+    }
+    if (state_.has_store(controller)) renew_member_lease(controller);
+    exchange_peer_status(controller);
+    update_availability(controller);
+    controller.core->advance_time(state_.timestamp());
+    if (!controller.serving()) send_due_commands(controller);
+    controller.planned = nullptr;
+    if (!state_.accepts_requests(controller)) return;
+    auto builder = controller.core->round(state_.timestamp());
+    if (!builder.empty()) controller.planned = builder.build().body;
+}
+
+void SimulatedCluster::act(SimulatedController& controller) {
+    if (!state_.accepts_requests(controller)) return;
+    if (!controller.planned.is_null()) commit(controller, std::exchange(controller.planned, nullptr));
+    send_due_commands(controller);
+    if (controller.core->may_take_cloud_role()) take_cloud_role(controller);
+    scale_in(controller);
+}
+
+void SimulatedCluster::take_cloud_role(SimulatedController& controller) {
+    auto builder = controller.core->new_transaction();
+    controller.core->take_cloud_role(builder, 0);
+    commit(controller, builder);
+}
+
+// The cloud takes machines back at once, and its answer always arrives.
+void SimulatedCluster::scale_in(SimulatedController& controller) {
+    auto due = controller.core->scale_in_due(state_.timestamp());
+    if (due.empty()) return;
+    for (SimulatedWorker& worker : state_.workers) {
+        if (std::find(due.begin(), due.end(), worker.name) == due.end()) continue;
+        worker.present = false;
+        worker.tasks.clear();
+    }
+    auto builder = controller.core->new_transaction();
+    controller.core->mark_gone(builder, due, state_.timestamp());
+    commit(controller, builder);
+}
+
+}  // namespace wellstair::test
--- /dev/null
+++ b/tests/simulation/cluster_messages.cpp
@@ -0,0 +1,146 @@
+// Commands and heartbeats between the controllers and workers of a simulated run, as PROTOCOL describes them.
+#include <algorithm>
+
+#include "simulation/simulated_cluster.hpp"
+
+namespace wellstair::test {
+
+namespace {
+
+constexpr double kCommandTimeoutShare = 0.6;  // of heartbeatIntervalS; a controller waits no longer for a reply
+constexpr double kRedirectS = 0.25;           // after 421, until the heartbeat to the leader
+constexpr double kConfirmTokenS = 0.5;        // after a new token, until the heartbeat that confirms it
+constexpr double kRetryS = 1;                 // after a failure, until the heartbeat to the next controller
+
+}  // namespace
+
+// --- commands
+
+void SimulatedCluster::send_due_commands(SimulatedController& controller) {
+    for (auto& [host, commands] : controller.core->commands_due(state_.timestamp()))
+        send_commands(controller, host, commands);
+}
+
+void SimulatedCluster::send_commands(SimulatedController& controller, const std::string& host,
+                                     const std::vector<wire::Command>& commands) {
+    SentCommands sent{state_.index_of(controller),
+                      controller.incarnation,
+                      host,
+                      controller.core->tracker(host)->agentEpoch,
+                      controller.core->state().host(host)->fencingToken,
+                      commands};
+    controller.core->commands_sent(host, commands, state_.timestamp());
+    const double sentS = state_.nowS;
+    network_.send(state_.nowS, network_.next_delay(state_.nowS),
+                  [this, sent, sentS] { receive_commands(sent, sentS); });
+}
+
+void SimulatedCluster::receive_commands(const SentCommands& sent, double sentS) {
+    SimulatedWorker* worker = state_.find_worker(sent.host);
+    const bool reaches = worker && state_.can_reach(state_.controllers[sent.controller], *worker) &&
+                         state_.nowS >= worker->unreachableUntilS;
+    if (!reaches || (random_.chance(state_.scenario.lostCommands) && before_faults_end())) {
+        lose_commands(sent, worker);
+        return;
+    }
+    if (sent.agentEpoch == worker->agentEpoch && sent.fencingToken >= worker->fencingToken) {
+        worker->fencingToken = sent.fencingToken;
+        execute(*worker, sent.commands);
+        worker->report_change(state_.nowS);
+    }
+    reply_to_commands(sent, sentS, *worker);
+}
+
+// Commands that are lost on the way may still arrive, a minute and a half later at most.
+void SimulatedCluster::lose_commands(const SentCommands& sent, const SimulatedWorker* worker) {
+    const bool hangs = worker && state_.nowS < worker->hungUntilS;
+    if (hangs || random_.chance(0.5)) delayedCommands_.push_back({state_.nowS + random_.between(0.5, 90), sent});
+    if (controller::Core* core = state_.process(sent.controller, sent.incarnation))
+        core->commands_answered(sent.host, sent.commands, false, sent.fencingToken);
+}
+
+void SimulatedCluster::reply_to_commands(const SentCommands& sent, double sentS, SimulatedWorker& worker) {
+    const double timeoutS = kCommandTimeoutShare * state_.controllers[sent.controller].settings.heartbeatIntervalS;
+    const double delayS = network_.next_delay(state_.nowS);
+    const bool inTime = state_.nowS + delayS - sentS <= timeoutS;
+    const double handledInS = inTime ? delayS : std::max(0.0, sentS + timeoutS - state_.nowS);
+    network_.send(state_.nowS, handledInS, [this, sent, inTime, reply = worker.next_heartbeat()] {
+        controller::Core* core = state_.process(sent.controller, sent.incarnation);
+        if (!core) return;
+        if (inTime) core->handle_command_reply(reply, state_.timestamp());
+        core->commands_answered(sent.host, sent.commands, inTime, sent.fencingToken);
+    });
+}
+
+// --- heartbeats
+
+SimulatedCluster::HeartbeatAnswer SimulatedCluster::answer(SimulatedController& controller,
+                                                           const wire::Heartbeat& heartbeat) {
+    using controller::HeartbeatResponse;
+    HeartbeatResponse response = controller.core->handle_heartbeat(heartbeat, state_.timestamp());
+    if (response.kind == HeartbeatResponse::redirect) return {421, response.leader, 0, {}};
+    if (response.kind != HeartbeatResponse::renewed) return {};
+    return {200, "", response.token, response.commands};
+}
+
+void SimulatedCluster::send_due_heartbeat(SimulatedWorker& worker) {
+    if (worker.awaitedHeartbeat && state_.nowS >= worker.lastHeartbeatS + kHeartbeatTimeoutS)
+        try_next_controller(worker, kRetryS);
+    if (worker.awaitedHeartbeat || state_.nowS < worker.nextHeartbeatS) return;
+    worker.nextHeartbeatS = state_.nowS + random_.between(2.25, 3.75);
+    send_heartbeat(worker);
+}
+
+void SimulatedCluster::try_next_controller(SimulatedWorker& worker, double inS) const {
+    worker.awaitedHeartbeat = 0;
+    worker.controller = (worker.controller + 1) % controller_count();
+    worker.nextHeartbeatS = state_.nowS + inS;
+}
+
+void SimulatedCluster::send_heartbeat(SimulatedWorker& worker) {
+    const wire::Heartbeat heartbeat = worker.next_heartbeat();
+    worker.lastHeartbeatS = state_.nowS;
+    worker.awaitedHeartbeat = heartbeat.sequence;
+    if (random_.chance(state_.scenario.delayedHeartbeatCopies) && before_faults_end())
+        heartbeatCopies_.push_back({state_.nowS + random_.between(1, 80), worker.controller, heartbeat});
+    if (state_.nowS < worker.silentUntilS) return;
+    network_.send(state_.nowS, network_.next_delay(state_.nowS),
+                  [this, host = worker.name, controller = worker.controller, heartbeat] {
+                      receive_heartbeat(host, controller, heartbeat);
+                  });
+}
+
+void SimulatedCluster::receive_heartbeat(const std::string& host, std::size_t index, const wire::Heartbeat& heartbeat) {
+    const SimulatedWorker* worker = state_.find_worker(host);
+    SimulatedController& controller = state_.controllers[index];
+    if (!worker || !controller.core || !state_.can_reach(controller, *worker)) return;
+    update_availability(controller);
+    HeartbeatAnswer reply = answer(controller, heartbeat);
+    network_.send(state_.nowS, network_.next_delay(state_.nowS),
+                  [this, host, heartbeat, reply] { receive_answer(host, heartbeat, reply); });
+}
+
+// An answer that comes too late, or to a heartbeat of an earlier session, is dropped.
+void SimulatedCluster::receive_answer(const std::string& host, const wire::Heartbeat& heartbeat,
+                                      const HeartbeatAnswer& answer) {
+    SimulatedWorker* worker = state_.find_worker(host);
+    if (!worker || state_.nowS < worker->unreachableUntilS || state_.nowS < worker->hungUntilS) return;
+    if (worker->agentEpoch != heartbeat.agentEpoch || worker->awaitedHeartbeat != heartbeat.sequence) return;
+    if (state_.nowS >= worker->lastHeartbeatS + kHeartbeatTimeoutS) return;
+    worker->awaitedHeartbeat = 0;
+    if (answer.status == 503) {
+        try_next_controller(*worker, kRetryS);
+    } else if (answer.status == 421) {
+        for (std::size_t i = 0; i < controller_count(); ++i)
+            if (state_.controllers[i].settings.member == answer.leader) worker->controller = i;
+        worker->nextHeartbeatS = state_.nowS + kRedirectS;
+    } else if (answer.fencingToken >= worker->fencingToken) {
+        if (answer.fencingToken > worker->fencingToken) worker->nextHeartbeatS = state_.nowS + kConfirmTokenS;
+        worker->fencingToken = answer.fencingToken;
+        worker->leaseFromS = worker->lastHeartbeatS;
+        worker->renewed = true;
+        execute(*worker, answer.commands);
+    }
+}
+
+}  // namespace wellstair::test
--- /dev/null
+++ b/tests/simulation/cluster_tasks.cpp
@@ -0,0 +1,102 @@
+// The tasks on the workers of a simulated run: how they start, run, end, and are stopped.
+#include "simulation/simulated_cluster.hpp"
+
+namespace wellstair::test {
+
+namespace {
+
+constexpr double kRepeatedTaskS = 0.5;      // a task whose result is already kept
+constexpr double kReplicaFails = 0.3;       // share of replicas that fail, or end of themselves, during the faults
+constexpr double kReplicaErrorShare = 0.5;  // of these, with an error
+
+}  // namespace
+
+void SimulatedCluster::execute(SimulatedWorker& worker, const std::vector<wire::Command>& commands) {
+    for (const wire::Command& command : commands) {
+        auto it = worker.tasks.find({command.job, command.index});
+        const bool known = it != worker.tasks.end();
+        const bool sameAttempt = known && it->second.attempt == command.attempt;
+        if (command.type == wire::CommandType::start) {
+            const bool busy = known && !it->second.ended();
+            if (!sameAttempt && !busy) start_task(worker, command);
+        } else if (sameAttempt && command.type == wire::CommandType::acknowledge) {
+            if (it->second.ended()) worker.tasks.erase(it);
+        } else if (sameAttempt && !it->second.ended()) {
+            it->second.end(wire::Cause::stopped);
+        }
+    }
+}
+
+void SimulatedCluster::start_task(SimulatedWorker& worker, const wire::Command& command) {
+    const workers::TaskKey key{command.job, command.index};
+    invariants_.check_start(worker, key);
+    const auto job = state_.jobs.find(command.job);
+    if (job == state_.jobs.end()) return;
+    ++state_.starts;
+    const double endsAtS = state_.nowS + random_duration_s(job->second, command.index);
+    worker.tasks[key] = {command.attempt, wire::TaskPhase::running, wire::Cause::none, endsAtS, state_.nowS};
+}
+
+double SimulatedCluster::random_duration_s(const SubmittedJob& job, std::uint32_t index) {
+    const bool resultKept = job.completed.count(index) > 0;
+    const double durationS = resultKept ? kRepeatedTaskS : job.spec.estimatedDurationS * random_.between(0.5, 1.5);
+    if (!job.spec.service()) return durationS;
+    return before_faults_end() && random_.chance(kReplicaFails) ? random_.between(5, 60) : kEndS;
+}
+
+void SimulatedCluster::run_worker(SimulatedWorker& worker) {
+    if (state_.nowS < worker.hungUntilS) return;
+    for (auto& [key, task] : worker.tasks) {
+        if (task.phase != wire::TaskPhase::running) continue;
+        run_task(key, task);
+        if (task.ended()) worker.report_change(state_.nowS);
+    }
+    send_due_heartbeat(worker);
+}
+
+void SimulatedCluster::run_task(const workers::TaskKey& key, SimulatedTask& task) {
+    const wire::JobSpec& spec = state_.jobs.at(key.first).spec;
+    const bool due = state_.nowS >= task.endsAtS;
+    if (spec.service()) {
+        if (!due) return;
+        task.end(random_.chance(kReplicaErrorShare) ? wire::Cause::error : wire::Cause::done);
+        return;
+    }
+    // A gang completes together, and exits when one of its tasks has been gone for a while.
+    std::vector<SimulatedTask*> together = {&task};
+    if (spec.kind == wire::JobKind::gang) together = running_gang(key, task);
+    const bool gangComplete = spec.kind != wire::JobKind::gang || together.size() == spec.taskCount;
+    if (gangComplete) task.gangCompleteAtS = state_.nowS;
+    if (gangComplete && due) {
+        complete(key, together);
+    } else if (!gangComplete && state_.nowS - task.gangCompleteAtS > kGangPeerTimeoutS) {
+        task.end(wire::Cause::gang_peer_lost);
+    }
+}
+
+// The task and all others of its attempt that run on a machine that does not hang.
+std::vector<SimulatedTask*> SimulatedCluster::running_gang(const workers::TaskKey& key, SimulatedTask& task) {
+    std::vector<SimulatedTask*> gang = {&task};
+    for (SimulatedWorker& worker : state_.workers) {
+        if (!worker.present || state_.nowS < worker.hungUntilS) continue;
+        for (auto& [otherKey, other] : worker.tasks) {
+            const bool sameAttempt = otherKey.first == key.first && other.attempt == task.attempt;
+            if (sameAttempt && &other != &task && other.phase == wire::TaskPhase::running) gang.push_back(&other);
+        }
+    }
+    return gang;
+}
+
+void SimulatedCluster::complete(const workers::TaskKey& key, const std::vector<SimulatedTask*>& tasks) {
+    SubmittedJob& job = state_.jobs.at(key.first);
+    for (SimulatedTask* each : tasks) each->end(wire::Cause::done);
+    if (job.spec.kind == wire::JobKind::gang)
+        for (std::uint32_t i = 0; i < job.spec.taskCount; ++i) job.completed.insert(i);
+    else
+        job.completed.insert(key.second);
+    // A user cancels it at the very moment at which its last task ends.
+    if (job.complete() && random_.chance(cancelAtEnd_))
+        cancel(key.first, state_.controllers[random_.pick(controller_count())]);
+}
+
+}  // namespace wellstair::test
--- /dev/null
+++ b/tests/simulation/delayed_deliveries.cpp
@@ -0,0 +1,66 @@
+// Transactions, commands and heartbeats of a simulated run that arrive late.
+#include "simulation/simulated_cluster.hpp"
+
+namespace wellstair::test {
+
+bool SimulatedCluster::deliveries_pending() const {
+    return !delayedTransactions_.empty() || !delayedCommands_.empty() || !heartbeatCopies_.empty() || !network_.empty();
+}
+
+void SimulatedCluster::deliver_late() {
+    apply_delayed_transactions();
+    execute_delayed_commands();
+    deliver_heartbeat_copies();
+}
+
+void SimulatedCluster::apply_delayed_transactions() {
+    for (auto it = delayedTransactions_.begin(); it != delayedTransactions_.end();) {
+        if (it->atS > state_.nowS) {
+            ++it;
+            continue;
+        }
+        state_.store.commit(it->body);
+        it = delayedTransactions_.erase(it);
+    }
+}
+
+void SimulatedCluster::execute_delayed_commands() {
+    for (auto it = delayedCommands_.begin(); it != delayedCommands_.end();) {
+        if (it->atS <= state_.nowS) execute_delayed(*it);
+        if (it->atS > state_.nowS)
+            ++it;
+        else
+            it = delayedCommands_.erase(it);
+    }
+}
+
+// Commands that reach a machine that hangs wait there until it goes on.
+void SimulatedCluster::execute_delayed(DelayedCommands& delayed) {
+    const SentCommands& sent = delayed.sent;
+    for (SimulatedWorker& worker : state_.workers) {
+        if (!worker.present || worker.name != sent.host) continue;
+        if (state_.nowS < worker.hungUntilS) {
+            delayed.atS = worker.hungUntilS;
+        } else if (worker.agentEpoch == sent.agentEpoch && sent.fencingToken >= worker.fencingToken) {
+            worker.fencingToken = sent.fencingToken;
+            execute(worker, sent.commands);
+        }
+    }
+}
+
+void SimulatedCluster::deliver_heartbeat_copies() {
+    for (auto it = heartbeatCopies_.begin(); it != heartbeatCopies_.end();) {
+        if (it->atS > state_.nowS) {
+            ++it;
+            continue;
+        }
+        SimulatedController& controller = state_.controllers[it->controller];
+        if (controller.core && state_.nowS >= controller.workersCutUntilS) {
+            update_availability(controller);
+            answer(controller, it->heartbeat);
+        }
+        it = heartbeatCopies_.erase(it);
+    }
+}
+
+}  // namespace wellstair::test
--- /dev/null
+++ b/tests/simulation/fault_injection.cpp
@@ -0,0 +1,184 @@
+// The faults of a simulated run: those that scenarios name, those that come at random, and the upgrade.
+#include <algorithm>
+
+#include "simulation/simulated_cluster.hpp"
+
+namespace wellstair::test {
+
+namespace {
+
+constexpr double kBackInAMomentS = 0.3;  // a process that is restarted at once
+constexpr double kReplacementS = 3;      // a process that is replaced by a new version
+
+// What a random fault may be, in the order of the draw.
+enum RandomFault : std::size_t {
+    kCrash,
+    kAllCrash,
+    kCutStore,
+    kCutStoreAndPeers,
+    kCutWorkers,
+    kOutage,
+    kMachineLost,
+    kWorkerRestarts,
+    kWorkerUnreachable,
+    kWorkerUnreachableToo,  // twice as likely as others
+    kCutPeers,
+    kWorkerHangs,
+    kWorkerSilent,
+    kCutZone,
+    kSlowStore,
+    kCancelRunning,
+    kRandomFaults
+};
+
+}  // namespace
+
+void SimulatedCluster::extend(double& untilS, double forS) const {
+    untilS = std::max(untilS, state_.nowS + forS);
+}
+
+std::size_t SimulatedCluster::leader() {
+    std::map<std::string, int> machines;
+    for (SimulatedController& controller : state_.controllers) {
+        if (!controller.core) continue;
+        for (const auto& [name, host] : controller.core->state().hosts())
+            if (host->leader == controller.settings.member) ++machines[controller.settings.member];
+    }
+    std::size_t best = 0;
+    for (std::size_t i = 0; i < state_.controllers.size(); ++i)
+        if (machines[state_.controllers[i].settings.member] > machines[state_.controllers[best].settings.member])
+            best = i;
+    return best;
+}
+
+void SimulatedCluster::crash(std::size_t controller, double forS) {
+    state_.controllers[controller].crash(state_.nowS + forS);
+}
+
+void SimulatedCluster::cut_store(std::size_t controller, double forS) {
+    extend(state_.controllers[controller].storeCutUntilS, forS);
+}
+
+void SimulatedCluster::cut_peers(std::size_t controller, double forS) {
+    extend(state_.controllers[controller].peersCutUntilS, forS);
+}
+
+void SimulatedCluster::outage(double forS) {
+    for (SimulatedController& controller : state_.controllers) extend(controller.storeCutUntilS, forS);
+    extend(outageUntilS_, forS);
+}
+
+void SimulatedCluster::slow_store(double forS) {
+    for (SimulatedController& controller : state_.controllers) extend(controller.slowReadsUntilS, forS);
+}
+
+void SimulatedCluster::cut_zone(const std::string& zone, double forS) {
+    extend(state_.zoneCutUntilS[zone], forS);
+}
+
+void SimulatedCluster::make_unreachable(double share, double forS) {
+    for (SimulatedWorker& worker : state_.workers)
+        if (random_.chance(share)) extend(worker.unreachableUntilS, forS);
+}
+
+void SimulatedCluster::make_silent(double share, double forS) {
+    for (SimulatedWorker& worker : state_.workers)
+        if (random_.chance(share)) extend(worker.silentUntilS, forS);
+}
+
+void SimulatedCluster::hang_workers(double share, double forS) {
+    for (SimulatedWorker& worker : state_.workers)
+        if (random_.chance(share)) worker.hang(state_.nowS, forS);
+}
+
+void SimulatedCluster::lose_machines(int count) {
+    for (; count > 0; --count) state_.workers[random_.pick(state_.workers.size())].present = false;
+}
+
+void SimulatedCluster::cancel_running(int count, double hangS) {
+    std::set<std::string> running;
+    for (const SimulatedWorker& worker : state_.workers)
+        for (const auto& [key, task] : worker.tasks)
+            if (worker.present && task.phase == wire::TaskPhase::running) running.insert(key.first);
+    for (const std::string& id : running) {
+        if (count-- <= 0) break;
+        // By way of another controller than the leader, if one takes it.
+        for (std::size_t i = 0; i < controller_count(); ++i)
+            if (cancel(id, state_.controllers[(leader() + 1 + i) % controller_count()])) break;
+        if (hangS <= 0) continue;
+        for (SimulatedWorker& worker : state_.workers)
+            if (worker.has_task_of(id)) worker.hang(state_.nowS, hangS);
+    }
+}
+
+void SimulatedCluster::cancel_starting() {
+    for (const DelayedCommands& delayed : delayedCommands_)
+        for (const wire::Command& command : delayed.sent.commands)
+            if (command.type == wire::CommandType::start)
+                cancel(command.job, state_.controllers[random_.pick(controller_count())]);
+}
+
+void SimulatedCluster::inject_random_fault() {
+    SimulatedController& controller = state_.controllers[random_.pick(controller_count())];
+    SimulatedWorker& worker = state_.workers[random_.pick(state_.workers.size())];
+    const double durationS = random_.between(2, 45);
+    const std::size_t kind = random_.pick(kRandomFaults);
+    inject_controller_fault(kind, controller, durationS);
+    inject_worker_fault(kind, worker, durationS);
+    inject_cluster_fault(kind, durationS);
+}
+
+void SimulatedCluster::inject_controller_fault(std::size_t kind, SimulatedController& controller, double durationS) {
+    const double untilS = state_.nowS + durationS;
+    if (kind == kCrash)
+        controller.crash(state_.nowS + (random_.chance(0.5) ? kBackInAMomentS : random_.between(2, 12)));
+    if (kind == kCutStore || kind == kCutStoreAndPeers) controller.storeCutUntilS = untilS;
+    if (kind == kCutPeers || kind == kCutStoreAndPeers) controller.peersCutUntilS = untilS;
+    if (kind == kCutWorkers) controller.workersCutUntilS = untilS;
+}
+
+void SimulatedCluster::inject_worker_fault(std::size_t kind, SimulatedWorker& worker, double durationS) {
+    if (kind == kMachineLost) worker.present = false;
+    if (kind == kWorkerRestarts) worker.start_session(state_.nowS);
+    if (kind == kWorkerUnreachable || kind == kWorkerUnreachableToo)
+        worker.unreachableUntilS = state_.nowS + random_.between(5, 70);
+    if (kind == kWorkerHangs) worker.hang(state_.nowS, random_.between(2, 60));
+    if (kind == kWorkerSilent) worker.silentUntilS = state_.nowS + durationS;
+}
+
+void SimulatedCluster::inject_cluster_fault(std::size_t kind, double durationS) {
+    if (kind == kAllCrash)
+        for (SimulatedController& each : state_.controllers) each.crash(state_.nowS + random_.between(0.2, 9));
+    if (kind == kOutage)
+        for (SimulatedController& each : state_.controllers) extend(each.storeCutUntilS, durationS);
+    if (kind == kCutZone) cut_zone(random_.chance(0.5) ? "a" : "b", durationS);
+    if (kind == kSlowStore) slow_store(durationS);
+    if (kind == kCancelRunning) cancel_running(2, random_.chance(0.5) ? durationS : 0);
+}
+
+// Processes are replaced one after the other; one that ends before its turn comes back as the old version.
+void SimulatedCluster::upgrade_controllers() {
+    for (std::size_t i = 0; i < controller_count(); ++i) {
+        if (!at(kUpgradeBeginsS + kUpgradeEveryS * static_cast<double>(i))) continue;
+        state_.controllers[i].replaced = true;
+        crash(i, kReplacementS);
+    }
+    if (at(kStateLimitsFallS)) state_.store.enforce_limits(kLoweredStateLimits);
+}
+
+// A member's lease ends when it is not renewed, but not in an outage, and has its full time again after that.
+void SimulatedCluster::end_member_leases() {
+    for (SimulatedController& controller : state_.controllers) {
+        if (state_.nowS < outageUntilS_) controller.memberLeaseUntilS = state_.nowS + kMemberTtlS;
+        const std::string key = controller.member_key();
+        if (state_.store.revision_of(key) && state_.nowS > controller.memberLeaseUntilS)
+            state_.write_unconditionally({{{"remove", key}}});
+    }
+}
+
+// A worker without an answer for a whole lease ends its tasks and begins a new session.
+void SimulatedCluster::end_worker_lease(SimulatedWorker& worker) const {
+    if (state_.nowS - worker.leaseFromS >= kLeaseS) worker.start_session(state_.nowS);
+}
+
+}  // namespace wellstair::test
--- /dev/null
+++ b/tests/simulation/simulated_cluster.cpp
@@ -0,0 +1,124 @@
+#include "simulation/simulated_cluster.hpp"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdio>
+
+#include "site_settings.hpp"
+
+namespace wellstair::test {
+
+namespace {
+
+constexpr double kRandomFault = 0.05;   // chance of a random fault in one step
+constexpr double kRandomCancel = 0.01;  // chance of a cancellation in one step
+constexpr double kRandomQuery = 0.02;   // chance of a question or repeated submission in one step
+constexpr double kSettlingS = 60;       // a run ends no earlier after its faults
+
+std::string zone_of(const std::string& controller) {
+    return controller == "k-2" ? "b" : "a";
+}
+
+}  // namespace
+
+SimulatedCluster::SimulatedCluster(unsigned seed, const Scenario& scenario)
+    : random_(seed), network_(seed, scenario.slowMessages) {
+    state_.scenario = scenario;
+    state_.write_unconditionally({{{"set", "ws/types"}, {"data", machine_types()}}});
+    add_controllers();
+    const std::size_t workers = scenario.upgrade ? kInitialUpgradeWorkers : kInitialWorkers;
+    for (std::size_t i = 0; i < workers; ++i) add_worker();
+}
+
+void SimulatedCluster::add_controllers() {
+    config::Settings settings = site_settings();
+    settings.leaseS = kLeaseS;
+    settings.cancelS = kCancelS;
+    settings.teams = {{"red", 16, kRedCores, 0, 0}, {"blue", 8, kBlueCores, 0, 0}};
+    const std::vector<std::string> names = {"k-0", "k-1", "k-2"};
+    for (const std::string& name : names) {
+        SimulatedController& controller = state_.controllers.emplace_back();
+        controller.settings = settings;
+        controller.settings.member = name;
+        controller.settings.location = zone_of(name);
+        controller.replaced = !state_.scenario.upgrade;
+        for (const std::string& other : names)
+            if (other != name) controller.settings.members.push_back({other, zone_of(other), {}});
+    }
+}
+
+SimulatedWorker& SimulatedCluster::add_worker() {
+    ++machinesMade_;
+    // In an upgrade the machines of a zone are all of one shard, so that it has to be divided.
+    char name[16];
+    std::snprintf(name, sizeof name, "n-%06d", state_.scenario.upgrade ? 6 * machinesMade_ : machinesMade_);
+    SimulatedWorker worker;
+    worker.name = name;
+    worker.machineType = machinesMade_ % 4 == 0 ? "g8" : "c8";
+    worker.zone = machinesMade_ % 3 == 0 ? "b" : "a";
+    worker.spot = machinesMade_ % 5 == 0;
+    worker.leaseFromS = state_.nowS;
+    worker.controller = random_.pick(state_.controllers.size());
+    return state_.workers.emplace_back(worker);
+}
+
+void SimulatedCluster::replace_lost_workers() {
+    auto present = [&] {
+        return static_cast<std::size_t>(std::count_if(state_.workers.begin(), state_.workers.end(),
+                                                      [](const SimulatedWorker& worker) { return worker.present; }));
+    };
+    while (present() < kMinWorkers) add_worker();
+}
+
+// Rented when the faults are over: every kind of job has machines that fit.
+void SimulatedCluster::add_workers_of_all_kinds() {
+    for (const char* zone : {"a", "b"})
+        for (int i = 0; i < 2; ++i) {
+            SimulatedWorker& worker = add_worker();
+            worker.machineType = "c8";
+            worker.zone = zone;
+            worker.spot = false;
+        }
+}
+
+void SimulatedCluster::run() {
+    while (state_.nowS < kEndS && !testing::Test::HasFailure()) {
+        state_.nowS += kStepS;
+        state_.store.set_time(state_.nowS);
+        inject_faults_and_requests();
+        run_step();
+        invariants_.check_step();
+        if (state_.nowS <= kFaultsUntilS + kSettlingS) continue;
+        if (!deliveries_pending() && state_.all_jobs_settled()) break;
+    }
+    invariants_.check_end();
+}
+
+void SimulatedCluster::inject_faults_and_requests() {
+    if (state_.scenario.upgrade) upgrade_controllers();
+    if (faults_active() && state_.scenario.onStep)
+        state_.scenario.onStep(*this, state_.nowS);
+    else if (faults_active() && random_.chance(kRandomFault))
+        inject_random_fault();
+    if (at(kFaultsUntilS)) add_workers_of_all_kinds();
+    const bool submissions = state_.nowS > kSubmissionsFromS && before_faults_end();
+    if (submissions && random_.chance(state_.scenario.submissions)) submit(++jobsSubmitted_);
+    if (faults_active() && random_.chance(kRandomCancel)) cancel_any();
+    if (random_.chance(kRandomQuery)) query_any();
+    replace_lost_workers();
+}
+
+void SimulatedCluster::run_step() {
+    end_member_leases();
+    for (SimulatedWorker& worker : state_.workers) end_worker_lease(worker);
+    deliver_late();
+    network_.deliver_due(state_.nowS);
+    // All plan on what they have read before any of them writes, as controllers do.
+    for (SimulatedController& controller : state_.controllers) plan(controller);
+    for (SimulatedController& controller : state_.controllers) act(controller);
+    for (SimulatedWorker& worker : state_.workers)
+        if (worker.present) run_worker(worker);
+}
+
+}  // namespace wellstair::test
--- /dev/null
+++ b/tests/simulation/simulated_worker.cpp
@@ -0,0 +1,60 @@
+#include "simulation/simulated_worker.hpp"
+
+#include <algorithm>
+
+namespace wellstair::test {
+
+void SimulatedWorker::start_session(double nowS) {
+    tasks.clear();
+    ++agentEpoch;
+    leaseFromS = nowS;
+    renewed = false;
+    awaitedHeartbeat = 0;
+}
+
+void SimulatedWorker::hang(double nowS, double forS) {
+    hungUntilS = std::max(hungUntilS, nowS + forS);
+    for (auto& [key, task] : tasks) {
+        task.endsAtS += forS;
+        task.gangCompleteAtS += forS;
+    }
+}
+
+wire::Heartbeat SimulatedWorker::next_heartbeat() {
+    wire::Heartbeat heartbeat;
+    heartbeat.host = name;
+    heartbeat.address = "10.1.0.1:9000";
+    heartbeat.machineType = machineType;
+    heartbeat.zone = zone;
+    heartbeat.spot = spot;
+    heartbeat.agentEpoch = agentEpoch;
+    heartbeat.sequence = ++sequence;
+    heartbeat.fencingToken = fencingToken;
+    for (const auto& [key, task] : tasks) {
+        wire::TaskStatus status;
+        status.job = key.first;
+        status.index = key.second;
+        status.attempt = task.attempt;
+        status.phase = task.phase;
+        status.cause = task.cause;
+        heartbeat.tasks.push_back(status);
+    }
+    return heartbeat;
+}
+
+void SimulatedWorker::report_change(double nowS) {
+    nextHeartbeatS = std::min(nextHeartbeatS, std::max(nowS, lastHeartbeatS + kMinChangeHeartbeatS));
+}
+
+bool SimulatedWorker::fits(const wire::JobSpec& spec) const {
+    if (spec.machineTypes &&
+        std::find(spec.machineTypes->begin(), spec.machineTypes->end(), machineType) == spec.machineTypes->end())
+        return false;
+    return (!spec.zone || *spec.zone == zone) && (!spot || spec.spotAllowed);
+}
+
+bool SimulatedWorker::has_task_of(const std::string& job) const {
+    return std::any_of(tasks.begin(), tasks.end(), [&](const auto& entry) { return entry.first.first == job; });
+}
+
+}  // namespace wellstair::test
--- a/tests/worker_lease_test.cpp
+++ b/tests/worker_lease_test.cpp
@@ -39,64 +39,96 @@
 };
 
 wire::Heartbeat numbered(std::uint64_t number) {
-    wire::Heartbeat r;
-    r.host = "n-1", r.agentEpoch = 1, r.sequence = number, r.fencingToken = 1;
-    return r;
+    wire::Heartbeat heartbeat;
+    heartbeat.host = "n-1";
+    heartbeat.agentEpoch = 1;
+    heartbeat.sequence = number;
+    heartbeat.fencingToken = 1;
+    return heartbeat;
 }
 
-// What Core::check_in does with a heartbeat of a machine that is led here.
+// What the leader does with a heartbeat of a machine that it leads.
 bool answered(State& s, std::uint64_t number) {
-    wire::Heartbeat r = numbered(number);
-    if (!s.tracker.lease.renew(r.agentEpoch, r.sequence, s.now)) return false;
-    if (s.tracker.newer(r)) s.tracker.take(r, workers::StatusSource::heartbeat, s.now);
+    wire::Heartbeat heartbeat = numbered(number);
+    if (!s.tracker.lease.renew(heartbeat.agentEpoch, heartbeat.sequence, s.now)) return false;
+    if (s.tracker.newer(heartbeat)) s.tracker.take(heartbeat, workers::StatusSource::heartbeat, s.now);
     return true;
 }
 
-// All that can happen next.
-std::vector<State> successors(const State& s) {
-    std::vector<State> next;
-    auto add = [&](auto change) {
-        State n = s;
-        change(n);
-        next.push_back(std::move(n));
-    };
-    if (!s.awaited)
-        add([](State& n) {
+// Collects the states that follow one.
+class Successors {
+  public:
+    explicit Successors(const State& from) : from_(from) {}
+
+    // The state after `change`.
+    template <class Change>
+    void add(Change change) {
+        State next = from_;
+        change(next);
+        states_.push_back(std::move(next));
+    }
+    const State& from() const { return from_; }
+    std::vector<State> take() { return std::move(states_); }
+
+  private:
+    const State& from_;
+    std::vector<State> states_;
+};
+
+// The worker sends a heartbeat, or gives up on one that may still be on its way.
+void add_worker_steps(Successors& next) {
+    if (!next.from().awaited)
+        next.add([](State& n) {
             n.heartbeat = {n.number, n.now};
             n.awaited = n.number++;
         });
-    if (s.awaited) add([](State& n) { n.awaited = 0; });  // the worker gives up; the heartbeat may still be on its way
-    if (s.heartbeat) {
-        if (!s.copy) add([](State& n) { n.copy = n.heartbeat->first; });
-        if (!s.answer)
-            add([](State& n) {
-                auto [number, sent] = *n.heartbeat;
-                n.heartbeat.reset();
-                n.answer = {number, sent, answered(n, number)};
-            });
-    }
-    if (s.answer)
-        add([](State& n) {
+    if (next.from().awaited) next.add([](State& n) { n.awaited = 0; });
+}
+
+// The heartbeat is copied on its way, or delivered; its answer arrives.
+void add_heartbeat_steps(Successors& next) {
+    const State& from = next.from();
+    if (from.heartbeat && !from.copy) next.add([](State& n) { n.copy = n.heartbeat->first; });
+    if (from.heartbeat && !from.answer)
+        next.add([](State& n) {
+            auto [number, sent] = *n.heartbeat;
+            n.heartbeat.reset();
+            n.answer = {number, sent, answered(n, number)};
+        });
+    if (from.answer)
+        next.add([](State& n) {
             auto [number, sent, ok] = *n.answer;
             n.answer.reset();
             if (n.awaited != number) return;
             n.awaited = 0;
             if (ok) n.renewedFrom = sent;
         });
-    if (s.copy)
-        add([](State& n) {
-            answered(n, *n.copy);  // nobody hears the answer
+    if (from.copy)
+        next.add([](State& n) {
+            answered(n, *n.copy);  // nobody receives the answer
             n.copy.reset();
         });
-    if (!s.commandReply) add([](State& n) { n.commandReply = n.number++; });  // a command is executed
-    if (s.commandReply)
-        add([](State& n) {
-            wire::Heartbeat r = numbered(*n.commandReply);
-            if (n.tracker.newer(r)) n.tracker.take(r, workers::StatusSource::command_reply, n.now);
+}
+
+// A command is executed; the reply to it is delivered.
+void add_command_steps(Successors& next) {
+    if (!next.from().commandReply) next.add([](State& n) { n.commandReply = n.number++; });
+    if (next.from().commandReply)
+        next.add([](State& n) {
+            wire::Heartbeat reply = numbered(*n.commandReply);
+            if (n.tracker.newer(reply)) n.tracker.take(reply, workers::StatusSource::command_reply, n.now);
             n.commandReply.reset();
         });
-    add([](State& n) { ++n.now; });
-    return next;
+}
+
+// All that can happen next.
+std::vector<State> successors(const State& from) {
+    Successors next(from);
+    add_worker_steps(next);
+    add_heartbeat_steps(next);
+    add_command_steps(next);
+    next.add([](State& n) { ++n.now; });
+    return next.take();
 }
 
 TEST(WorkerLease, NoOrderOfMessagesEndsTheCountBeforeTheWorkersLease) {
@@ -120,7 +152,7 @@
             }
         frontier = std::move(reached);
     }
-    EXPECT_GT(overtaken, 100u) << "hardly an order in which a reply overtook a report";
+    EXPECT_GT(overtaken, 100u) << "hardly an order in which a reply overtook a heartbeat";
 }
 
 TEST(WorkerLease, TheCountOutlastsTheWorkersWhateverTheDriftOfTheClocks) {
@@ -135,7 +167,7 @@
     }
 }
 
-TEST(WorkerLease, OlderReportsAndThoseOfEarlierSessionsRenewNothing) {
+TEST(WorkerLease, OlderHeartbeatsAndThoseOfEarlierSessionsRenewNothing) {
     workers::WorkerLease lease;
     EXPECT_TRUE(lease.renew(2, 10, 100));
     EXPECT_FALSE(lease.renew(2, 10, 110)) << "a copy of the last one";
