--- a/tests/golden_requests_test.cpp
+++ b/tests/golden_requests_test.cpp
@@ -4,9 +4,9 @@
 
 #include "cloud/client.hpp"
 #include "loopback_server.hpp"
+#include "site_settings.hpp"
 #include "store/client.hpp"
 #include "workers/command_channel.hpp"
-#include "world.hpp"
 
 namespace wellstair {
 namespace {
--- a/tests/service_fixture.hpp
+++ b/tests/service_fixture.hpp
@@ -12,8 +12,8 @@
 #include "service/state_reader.hpp"
 #include "service/user_api.hpp"
 #include "service/user_request_queue.hpp"
+#include "site_settings.hpp"
 #include "state_service_stand_in.hpp"
-#include "world.hpp"
 
 namespace wellstair::test {
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -4,8 +4,8 @@
 
 #include <gtest/gtest.h>
 
+#include "site_settings.hpp"
 #include "state_service_stand_in.hpp"
-#include "world.hpp"
 
 namespace wellstair::test {
 namespace {
