--- a/src/controller/commands.cpp
+++ b/src/controller/commands.cpp
@@ -4,6 +4,7 @@
 #include <algorithm>
 
 #include "controller/core.hpp"
+#include "reconciliation/stop_decision.hpp"
 
 namespace wellstair::controller {
 
@@ -18,6 +19,21 @@
 using workers::SentStop;
 using workers::TaskKey;
 
+// All tasks placed there are there and may go on, and nothing else is there: nothing to do until something changes.
+bool Core::in_sync(const HostRecord& h, const HostTracker& n) const {
+    if (n.tasks.size() != h.placed.size()) return false;
+    for (const TaskRef& ref : h.placed) {
+        Task s = ref.job->task(ref.index, context_.state().chunk_size());
+        TaskKey key{ref.job->id, ref.index};
+        auto seen = n.tasks.find(key);
+        if (seen == n.tasks.end() || seen->second.attempt != s.attempt ||
+            seen->second.phase == wire::TaskPhase::ended || reconciliation::stopping(cancellations_, *ref.job, s) ||
+            n.evict.count(key))
+            return false;
+    }
+    return true;
+}
+
 std::vector<wire::Command> Core::commands_for(const std::string& host, bool byCommand, Timestamp now) {
     std::vector<wire::Command> acknowledgements, stops, starts;
     HostRecord* h = context_.state().host(host);
@@ -30,7 +46,7 @@
         placedHere[key] = s.attempt;
         auto seen = n->tasks.find(key);
         bool there = seen != n->tasks.end() && seen->second.attempt == s.attempt;
-        bool stop = stopping(*ref.job, s) || n->evict.count(key);
+        bool stop = reconciliation::stopping(cancellations_, *ref.job, s) || n->evict.count(key);
         if (there && seen->second.phase != wire::TaskPhase::ended && stop) {
             SentStop& note = n->stops[key];
             bool first = note.attempt != s.attempt;
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -23,14 +23,16 @@
       cancellations_(context_, hosts_, schedule_),
       assignment_(context_),
       limits_(context_, assignment_, schedule_),
-      failover_(context_, assignment_, cancellations_, hosts_, peers_, schedule_) {
+      failover_(context_, assignment_, cancellations_, hosts_, peers_, schedule_),
+      reconciler_(context_, cancellations_, hosts_, jobHistories_, schedule_) {
     reset_state();
 }
 
 void Core::reset_state() {
     context_.reset_state(own_layout());
     context_.state().on_task_change = [this](Job& j, std::uint32_t i, const Task& b, const Task& a) {
-        on_task_change(j, i, b, a);
+        reconciler_.on_task_change(j, i, b, a);
+        if (a.host && a.host != b.host) unstartedSince_.erase(a.host->name);
     };
     // A new fencing token, ours again or somebody else's: until the host confirms it, older commands may still reach
     // the host.
@@ -192,8 +194,8 @@
     constexpr int kStages = 3;
     for (int i = 0; i < kStages; ++i) {
         const int stage = (firstStage_ + i) % kStages;
-        if (stage == 0) release_finished_tasks(builder, now);
-        if (stage == 1) finish_jobs(builder);
+        if (stage == 0) reconciler_.release_finished_tasks(builder, now);
+        if (stage == 1) reconciler_.finish_jobs(builder, holds_cloud_role());
         if (stage == 2) place(builder, now);
     }
     firstStage_ = schedule_.round_due() ? (firstStage_ + 1) % kStages : 0;
@@ -202,22 +204,6 @@
     return builder;
 }
 
-void Core::finish_jobs(state::TransactionBuilder& builder) {
-    for (const auto& [order, job] : context_.state().queue()) {
-        bool gangDone = job->gang() && job->done > 0 && job->placed == 0;  // see clear_ended
-        bool done = job->state == JobState::active && (job->done == job->spec->taskCount || gangDone);
-        bool aborted = job->state == JobState::cancelled && job->placed == 0;
-        if ((!done && !aborted) || !context_.responsible(*job)) continue;
-        if (!builder.finish(*job, done ? JobState::done : JobState::aborted)) {
-            schedule_.request_round();
-            return;
-        }
-    }
-    if (holds_cloud_role())
-        for (const auto& [path, revision] : context_.state().orphaned_chunks())
-            if (!builder.garbage_collect(path, revision)) return;
-}
-
 peers::PeerStatus Core::own_peer_status(double storeAgeS, Timestamp now) const {
     peers::PeerStatus peerStatus{settings_.member, context_.incarnation(), storeAgeS, context_.serving(), {}};
     for (const auto& [name, n] : hosts_.all()) {
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -26,6 +26,7 @@
 #include "placement/room.hpp"
 #include "placement/scale_out.hpp"
 #include "reconciliation/job_history.hpp"
+#include "reconciliation/task_reconciler.hpp"
 #include "state/state_cache.hpp"
 #include "state/transaction_builder.hpp"
 #include "workers/host_table.hpp"
@@ -171,28 +172,13 @@
   private:
     // Whether a heartbeat of a machine led here may be answered with 200; then the lease is counted from now.
     bool renew_lease(const wire::Heartbeat& r, Timestamp now);
-    // Takes in what a heartbeat of a machine led here tells, unless something newer is known.
-    void apply_status(const wire::Heartbeat& r, workers::StatusSource source, Timestamp now);
-    struct TerminationProof {
-        enum Verdict { none, done, gone } verdict = none;
-        const char* reason = "";
-    };
-    TerminationProof termination_proof(const state::HostRecord& h, const state::TaskRef& ref);
     bool in_sync(const state::HostRecord& h, const workers::HostTracker& n) const;
-    bool stopping(const state::Job& job, const state::Task& task) const;
     void log_start(const state::HostRecord& h, const wire::Command& start, const char* sentBy, Timestamp now) const;
     void add_blind_stops(const state::HostRecord& h, const workers::HostTracker& n,
                          std::vector<wire::Command>& all) const;
     bool usable(const state::HostRecord& h, Timestamp now) const;
-    void on_task_change(state::Job& job, std::uint32_t index, const state::Task& before, const state::Task& after);
-    void record_replica_end(const state::Job& job, const std::string& host, Timestamp now);
-    bool may_move_replica(const state::Job& job, std::uint32_t index, Timestamp now) const;
-    bool holds_service(const state::HostRecord& h) const;
-    void record_task_end(workers::HostTracker& n, const std::string& host, const workers::TaskKey& key,
-                         const workers::ObservedTask& seen, Timestamp now);
+    bool holds_service(const state::HostRecord& host) const { return reconciler_.holds_service(host); }
 
-    void release_finished_tasks(state::TransactionBuilder& builder, Timestamp now);
-    void finish_jobs(state::TransactionBuilder& builder);
     void place(state::TransactionBuilder& builder, Timestamp now);
 
     struct QueuedJob {
@@ -254,6 +240,7 @@
     leadership::ShardAssignment assignment_;
     leadership::StateLimitPolicy limits_;
     failover::HostFailover failover_;
+    reconciliation::TaskReconciler reconciler_;
     double plannedS_ = -1e9;   // when it was last planned
     double nextTurnS_ = 1e18;  // time of day of the next turn of this controller at some job
     struct NodePool {
--- a/src/controller/heartbeats.cpp
+++ b/src/controller/heartbeats.cpp
@@ -19,7 +19,7 @@
         answer.kind = HeartbeatResponse::acquiring;
         failover_.request_acquisition(r);
     } else if (admission.decision == Decision::accept && renew_lease(r, now)) {
-        apply_status(r, workers::StatusSource::heartbeat, now);
+        reconciler_.apply_status(r, workers::StatusSource::heartbeat, now);
         answer.kind = HeartbeatResponse::renewed;
         answer.token = context_.state().host(r.host)->fencingToken;
         answer.commands = commands_for(r.host, false, now);
@@ -51,7 +51,7 @@
 }
 
 void Core::handle_command_reply(const wire::Heartbeat& r, Timestamp now) {
-    apply_status(r, workers::StatusSource::command_reply, now);
+    reconciler_.apply_status(r, workers::StatusSource::command_reply, now);
 }
 
 }  // namespace wellstair::controller
--- /dev/null
+++ b/src/reconciliation/task_reconciler.cpp
@@ -0,0 +1,212 @@
+#include "reconciliation/task_reconciler.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace wellstair::reconciliation {
+
+using state::HostRecord;
+using state::HostState;
+using state::Job;
+using state::JobState;
+using state::Task;
+using state::TaskRef;
+using state::TaskState;
+using state::TransactionBuilder;
+using workers::HostTracker;
+using workers::ObservedTask;
+using workers::StatusSource;
+using workers::TaskKey;
+using Verdict = TerminationProof::Verdict;
+
+namespace {
+
+void log_reachability(const std::string& host, int missedAnswersBefore, const HostTracker& tracker) {
+    const bool unreachableBefore = missedAnswersBefore >= workers::kMissedAnswersUntilUnreachable;
+    if (!unreachableBefore && tracker.unreachable())
+        spdlog::info("host {} sends heartbeats, but our answers do not reach it (unreachable one way)", host);
+    if (unreachableBefore && !tracker.missedAnswers) spdlog::info("our answers reach host {} again", host);
+}
+
+void confirm_leadership(const std::string& host, HostTracker& tracker) {
+    if (tracker.state == HostState::expired || tracker.state == HostState::silent)
+        spdlog::info("host {} sends heartbeats again", host);
+    tracker.state.become(HostState::confirmed);
+}
+
+// What becomes of a task that is proven to be done or gone.
+TaskState released_state(const Job& job, Verdict proven) {
+    // A gang completes together: one task that is done shows it of those, too, whose hosts were lost before they could
+    // report it. Counted as open, they would wait for ever for the rest of a gang that is over.
+    const bool active = job.state == JobState::active;
+    if (job.gang() && job.done > 0 && active) return TaskState::done;
+    if (job.service()) return TaskState::open;  // never done: it starts again elsewhere
+    return proven == Verdict::done && active ? TaskState::done : TaskState::open;
+}
+
+}  // namespace
+
+TaskReconciler::TaskReconciler(leadership::ControllerContext& context,
+                               const leadership::CancellationRegistry& cancellations, workers::HostTable& hosts,
+                               JobHistories& histories, leadership::RoundSchedule& schedule)
+    : context_(context),
+      cancellations_(cancellations),
+      hosts_(hosts),
+      histories_(histories),
+      schedule_(schedule),
+      failureRecorder_(context, histories),
+      prover_(context, cancellations, hosts) {}
+
+void TaskReconciler::apply_status(const wire::Heartbeat& heartbeat, StatusSource source, Timestamp now) {
+    context_.set_now(now);
+    HostRecord* host = context_.state().host(heartbeat.host);
+    if (!context_.led_here(host)) return;
+    HostTracker& tracker = hosts_.track(heartbeat.host);
+    if (!tracker.newer(heartbeat)) return;  // held back on the way, or overtaken
+    const ObservedTasks tasksBefore = tracker.tasks;
+    const int missedAnswersBefore = tracker.missedAnswers;
+    const bool confirmedBefore = tracker.state == HostState::confirmed;
+    const bool noticeBefore = tracker.preemptionAtS.has_value();
+
+    tracker.take(heartbeat, source, now.steady);
+    const bool noticeChanged = noticeBefore != tracker.preemptionAtS.has_value();
+    if (tracker.missedAnswers != missedAnswersBefore) schedule_.request_plan();
+    log_reachability(heartbeat.host, missedAnswersBefore, tracker);
+    bool changed = apply_task_changes(*host, tracker, tasksBefore, now);
+    changed = changed || noticeChanged || tasksBefore.size() != tracker.tasks.size();
+
+    if (tracker.state == HostState::acquiring || tracker.state == HostState::released)
+        tracker.state.become(HostState::led);
+    // The host has seen our fencing token: it refuses every command under an older one from here on.
+    const bool confirms = heartbeat.fencingToken == host->fencingToken && source == StatusSource::heartbeat;
+    if (confirms && tracker.state != HostState::confirmed) confirm_leadership(heartbeat.host, tracker);
+    if (changed || !confirmedBefore) {
+        schedule_.request_round();
+        schedule_.mark_due(*host);
+    }
+    if (!confirmedBefore || noticeChanged) schedule_.request_plan();
+}
+
+bool TaskReconciler::apply_task_changes(HostRecord& host, HostTracker& tracker, const ObservedTasks& before,
+                                        Timestamp now) {
+    bool changed = false;
+    for (const auto& [key, observed] : tracker.tasks) {
+        auto old = before.find(key);
+        const bool known =
+            old != before.end() && old->second.attempt == observed.attempt && old->second.phase == observed.phase;
+        if (known) continue;
+        changed = true;
+        if (observed.phase == wire::TaskPhase::ended)
+            failureRecorder_.record_task_end(tracker, host.name, key, observed, now);
+        if (observed.phase == wire::TaskPhase::running || observed.phase == wire::TaskPhase::waiting)
+            record_running(host, key, now);
+    }
+    return changed;
+}
+
+void TaskReconciler::record_running(HostRecord& host, const TaskKey& key, Timestamp now) {
+    const Job* job = context_.state().job(key.first);
+    if (!job) return;
+    host.cache.ready(job->spec->image, job->spec->imageGb, now.wall);
+    spdlog::debug("task {}/{} of {} runs on {}, {:.1f} s after its submission", key.first, key.second, job->spec->team,
+                  host.name, now.wall - static_cast<double>(job->atS));
+}
+
+void TaskReconciler::on_task_change(Job& job, std::uint32_t index, const Task& before, const Task& after) {
+    schedule_.request_round();
+    if (before.host && before.host != after.host)
+        if (HostTracker* tracker = hosts_.find(before.host->name)) tracker->evict.erase(TaskKey{job.id, index});
+    if (job.service() && before.host && !after.host) histories_.record_lost_replica(job.id, context_.now());
+    if (before.host) {
+        schedule_.request_plan();
+        schedule_.mark_due(*before.host);
+        // A gang that has lost a task stops: its other hosts have something to do.
+        if (!after.host && job.gang()) schedule_.mark_job_due(job);
+    }
+    if (after.host) schedule_.mark_due(*after.host);
+}
+
+void TaskReconciler::release_finished_tasks(TransactionBuilder& builder, Timestamp now) {
+    for (const std::string& name : schedule_.due_hosts()) {
+        HostRecord* host = context_.state().host(name);
+        if (!host || host->placed.empty()) continue;
+        if (!host->gone() && !host->removed() && !context_.led_here(host)) continue;
+        if (!release_tasks_of(*host, builder, now)) {
+            schedule_.request_round();
+            return;
+        }
+    }
+}
+
+bool TaskReconciler::release_tasks_of(HostRecord& host, TransactionBuilder& builder, Timestamp now) {
+    HostTracker* tracker = hosts_.find(host.name);
+    // By the cloud's notice, or because this cluster returns it.
+    const bool returning = tracker && (tracker->preemptionAtS || host.leaves()) && !host.gone();
+    const std::vector<TaskRef> placed = host.placed;
+    for (const TaskRef& ref : placed) {
+        if (returning) stop_for_return(ref, *tracker, builder, now);
+        const TerminationProof proof = prover_.prove(host, ref);
+        if (proof.verdict == Verdict::none) continue;
+        spdlog::debug("task {}/{} on {} is {}: {} (lease {})", ref.job->id, ref.index, host.name,
+                      proof.verdict == Verdict::done ? "done" : "gone", proof.reason,
+                      tracker ? tracker->lease.describe(now.steady) : "not counted here");
+        if (!builder.release_task(*ref.job, ref.index, released_state(*ref.job, proof.verdict))) return false;
+    }
+    return true;
+}
+
+// Stopped with time to write a checkpoint, if its job has one; a wide gang stops as a whole.
+void TaskReconciler::stop_for_return(const TaskRef& ref, HostTracker& tracker, TransactionBuilder& builder,
+                                     Timestamp now) {
+    Job& job = *ref.job;
+    if (job.wide_gang()) {
+        const std::uint32_t attempt = job.task(ref.index, context_.state().chunk_size()).attempt;
+        if (job.stopAttempt != attempt && job.state == JobState::active) builder.stop_attempt(job, attempt);
+        return;
+    }
+    if (job.service() && !may_move_replica(job, ref.index, now)) return;
+    tracker.evict.try_emplace({job.id, ref.index}, now.steady);
+}
+
+// The next replica is moved when all others are placed and have had the time to fetch their image. What the hosts of
+// other controllers report is not known here; the time since the start was decided stands for it.
+bool TaskReconciler::may_move_replica(const Job& job, std::uint32_t index, Timestamp now) const {
+    if (job.open() > 0) return false;
+    const state::StateCache& state = context_.state();
+    for (std::uint32_t i = 0; i < job.spec->taskCount; ++i) {
+        if (i == index) continue;
+        const Task other = job.task(i, state.chunk_size());
+        if (!other.host) return false;
+        const double fetchS = job.spec->imageGb / state.fetch_rate(other.host->machineType);
+        const double placedForS = now.wall - static_cast<double>(other.atS);
+        if (placedForS < fetchS + context_.settings().heartbeatIntervalS) return false;
+        const HostTracker* tracker = hosts_.find(other.host->name);
+        if (tracker && tracker->evict.count({job.id, i})) return false;
+    }
+    return true;
+}
+
+bool TaskReconciler::holds_service(const HostRecord& host) const {
+    return std::any_of(host.placed.begin(), host.placed.end(),
+                       [&](const TaskRef& ref) { return ref.job->service() && !cancellations_.cancelled(*ref.job); });
+}
+
+void TaskReconciler::finish_jobs(TransactionBuilder& builder, bool collectGarbage) {
+    for (const auto& [order, job] : context_.state().queue()) {
+        // Tasks of a gang that were lost before the first one was known to be done count as open.
+        const bool gangDone = job->gang() && job->done > 0 && job->placed == 0;
+        const bool done = job->state == JobState::active && (job->done == job->spec->taskCount || gangDone);
+        const bool aborted = job->state == JobState::cancelled && job->placed == 0;
+        if ((!done && !aborted) || !context_.responsible(*job)) continue;
+        if (!builder.finish(*job, done ? JobState::done : JobState::aborted)) {
+            schedule_.request_round();
+            return;
+        }
+    }
+    if (!collectGarbage) return;
+    for (const auto& [path, revision] : context_.state().orphaned_chunks())
+        if (!builder.garbage_collect(path, revision)) return;
+}
+
+}  // namespace wellstair::reconciliation
--- a/src/workers/host_tracker.cpp
+++ b/src/workers/host_tracker.cpp
@@ -1,42 +1,50 @@
 #include "workers/host_tracker.hpp"
 
-#include <algorithm>
+#include <utility>
 
 namespace wellstair::workers {
 
-void HostTracker::take(const wire::Heartbeat& r, StatusSource source, double nowS) {
-    // A host that has our answer stays here, and its next message is numbered next. One that has not goes round the
-    // other controllers first. Heartbeats that keep arriving must not hide that no answer takes effect.
-    if (source == StatusSource::heartbeat && agentEpoch) {
-        const bool confirms = r.fencingToken > seenToken && r.fencingToken == leaderToken;
-        if (confirms || (r.agentEpoch == agentEpoch && r.sequence == sequence + 1))
-            missedAnswers = 0;
-        else if (r.agentEpoch == agentEpoch && ++missedAnswers == 2)
-            unreachableSinceS = nowS;
-    }
-    agentEpoch = r.agentEpoch;
-    sequence = r.sequence;
-    seenToken = r.fencingToken;
-    if (!r.address.empty()) address = r.address;
-    if (r.preemptionNoticeS)
-        preemptionAtS = nowS + *r.preemptionNoticeS;
+void HostTracker::take(const wire::Heartbeat& heartbeat, StatusSource source, double nowS) {
+    if (source == StatusSource::heartbeat && agentEpoch) count_missed_answers(heartbeat, nowS);
+    agentEpoch = heartbeat.agentEpoch;
+    sequence = heartbeat.sequence;
+    seenToken = heartbeat.fencingToken;
+    if (!heartbeat.address.empty()) address = heartbeat.address;
+    if (heartbeat.preemptionNoticeS)
+        preemptionAtS = nowS + *heartbeat.preemptionNoticeS;
     else
         preemptionAtS.reset();
-    std::map<TaskKey, ObservedTask> now;
-    for (const auto& t : r.tasks) {
-        TaskKey key{t.job, t.index};
-        auto it = now.find(key);
+    take_tasks(heartbeat, nowS);
+}
+
+// A host that has our answer stays here, and its next message is numbered next. One that has not tries the other
+// controllers first. Heartbeats that keep arriving must not hide that no answer takes effect.
+void HostTracker::count_missed_answers(const wire::Heartbeat& heartbeat, double nowS) {
+    const bool confirms = heartbeat.fencingToken > seenToken && heartbeat.fencingToken == leaderToken;
+    const bool sameEpoch = heartbeat.agentEpoch == agentEpoch;
+    if (confirms || (sameEpoch && heartbeat.sequence == sequence + 1))
+        missedAnswers = 0;
+    else if (sameEpoch && ++missedAnswers == kMissedAnswersUntilUnreachable)
+        unreachableSinceS = nowS;
+}
+
+void HostTracker::take_tasks(const wire::Heartbeat& heartbeat, double nowS) {
+    std::map<TaskKey, ObservedTask> listed;
+    for (const auto& task : heartbeat.tasks) {
+        const TaskKey key{task.job, task.index};
+        auto other = listed.find(key);
         // Two attempts of one task can be listed: the later one counts, the earlier is to be removed once it is gone.
-        if (it != now.end() && it->second.attempt >= t.attempt) continue;
-        ObservedTask s{t.attempt, t.phase, t.cause, t.checkpointed, nowS};
-        if (auto old = tasks.find(key);
-            old != tasks.end() && old->second.attempt == t.attempt && old->second.phase == t.phase)
-            s.sinceS = old->second.sinceS;
-        now[key] = s;
-        if (auto st = starts.find(key); st != starts.end() && st->second.attempt == t.attempt) st->second.seen = true;
+        if (other != listed.end() && other->second.attempt >= task.attempt) continue;
+        ObservedTask observed{task.attempt, task.phase, task.cause, task.checkpointed, nowS};
+        auto before = tasks.find(key);
+        if (before != tasks.end() && before->second.attempt == task.attempt && before->second.phase == task.phase)
+            observed.sinceS = before->second.sinceS;
+        listed[key] = observed;
+        auto start = starts.find(key);
+        if (start != starts.end() && start->second.attempt == task.attempt) start->second.seen = true;
     }
-    tasks = std::move(now);
-    std::erase_if(stops, [&](auto& e) { return !tasks.count(e.first); });
+    tasks = std::move(listed);
+    std::erase_if(stops, [&](const auto& entry) { return !tasks.count(entry.first); });
 }
 
 void HostTracker::begin_leadership(std::uint64_t nextToken, double nowS) {
