--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -25,6 +25,7 @@
 #include "placement/lem.hpp"
 #include "placement/scale_out.hpp"
 #include "reconciliation/job_history.hpp"
+#include "reconciliation/task_reconciler.hpp"
 #include "scheduling/demand_history.hpp"
 #include "scheduling/held_back_jobs.hpp"
 #include "scheduling/host_eligibility.hpp"
@@ -163,26 +164,10 @@
   private:
     // Whether a heartbeat of a machine led here may be answered with 200; then the lease is counted from now.
     bool renew_lease(const wire::Heartbeat& r, Timestamp now);
-    // Takes in what a heartbeat of a machine led here tells, unless something newer is known.
-    void apply_status(const wire::Heartbeat& r, workers::StatusSource source, Timestamp now);
-    struct TerminationProof {
-        enum Verdict { none, done, gone } verdict = none;
-        const char* reason = "";
-    };
-    TerminationProof termination_proof(const state::HostRecord& h, const state::TaskRef& ref);
     bool in_sync(const state::HostRecord& h, const workers::HostTracker& n) const;
-    bool stopping(const state::Job& job, const state::Task& task) const;
     void log_start(const state::HostRecord& h, const wire::Command& start, const char* sentBy, Timestamp now) const;
     void add_blind_stops(const state::HostRecord& h, const workers::HostTracker& n,
                          std::vector<wire::Command>& all) const;
-    void on_task_change(state::Job& job, std::uint32_t index, const state::Task& before, const state::Task& after);
-    void record_replica_end(const state::Job& job, const std::string& host, Timestamp now);
-    bool may_move_replica(const state::Job& job, std::uint32_t index, Timestamp now) const;
-    void record_task_end(workers::HostTracker& n, const std::string& host, const workers::TaskKey& key,
-                         const workers::ObservedTask& seen, Timestamp now);
-
-    void release_finished_tasks(state::TransactionBuilder& builder, Timestamp now);
-    void finish_jobs(state::TransactionBuilder& builder);
 
     const config::Settings& settings_;
     Tunables tunables_;
@@ -205,6 +190,7 @@
     scheduling::HeldBackJobs heldBack_;
     scheduling::Preemption preemption_;
     scheduling::SchedulingPlanner planner_;
+    reconciliation::TaskReconciler reconciler_;
 
     HeartbeatStatistics heartbeatStatistics_;
     int firstStage_ = 0;  // of a round: rotates while transactions are full
