--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -122,7 +122,7 @@
             if (!s.zone || *s.zone == zone) zones.insert(zone);
     }
     if (zones.empty()) return "a task fits no allowed machine type";
-    // Its tasks are where they may be together, or never.
+    // Co-located tasks, or those of one zone, cannot be spread.
     if (s.spread && whole && s.taskCount > 1 && (s.coLocated || zones.size() < 2))
         return "at most half of a scattered job's tasks may be in one zone, and it may use no other";
     return std::nullopt;
@@ -193,7 +193,7 @@
     if (limits_.propose_switch(builder)) return builder;
     limits_.split_shards(builder, now);
     failover_.acquire_hosts(builder, now);
-    // Small transactions may be full before the last of these has had its turn: the next round then begins with it.
+    // Small transactions may be full before the last stage has had its turn: the next round then begins with that.
     constexpr int kStages = 3;
     for (int i = 0; i < kStages; ++i) {
         const int stage = (firstStage_ + i) % kStages;
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -1,13 +1,13 @@
 // Every decision of a controller, free of I/O: heartbeats, requests and the watch come in, transactions, commands and
 // answers go out. Time is passed in, so that kept traces replay on a virtual clock.
 //
-// It works by levels, not edges: each round compares what the state service holds with what the machines heartbeat and
-// proposes the next transaction. Whatever was lost, late or done by somebody else shows in the next comparison.
+// Reconciliation is level-triggered: each round compares what the state service holds with what the heartbeats of the
+// hosts show, and proposes the next transaction. Whatever was lost, late or done by another process shows in the next
+// comparison. Core owns the components and orders them in a round; each component owns its state. Single-threaded.
 #pragma once
 
 #include <memory>
 #include <unordered_map>
-#include <variant>
 
 #include "autoscaling/cloud_role.hpp"
 #include "autoscaling/scale_in_policy.hpp"
@@ -22,7 +22,6 @@
 #include "leadership/state_limit_policy.hpp"
 #include "peers/packet.hpp"
 #include "peers/peer_table.hpp"
-#include "placement/lem.hpp"
 #include "placement/scale_out.hpp"
 #include "reconciliation/job_history.hpp"
 #include "reconciliation/task_reconciler.hpp"
@@ -45,6 +44,7 @@
 
 using Tunables = scheduling::TuningOptions;
 
+// The answer to a user's request: HTTP status, body, and seconds after which to retry (0: no such header).
 struct Answer {
     int status = 200;
     wire::Json body;
@@ -55,15 +55,16 @@
 struct HeartbeatResponse {
     enum Kind {
         renewed,    // 200: the worker's lease is renewed, and counted here
-        acquiring,  // the machine's registration is on its way to the state service: ask again
-        redirect,   // 421: another controller keeps it
+        acquiring,  // the host's registration is on its way to the state service: ask again
+        redirect,   // 421: another controller leads it
         refuse,     // 503
     } kind = refuse;
-    std::string leader;       // redirect: whom it should heartbeat to
+    std::string leader;       // redirect: whom it should send its heartbeats to
     std::uint64_t token = 0;  // renewed: the fencing token
     std::vector<wire::Command> commands;
 };
 
+// Machines of one type and zone, ordinary or spot, to be rented.
 struct ScaleOutRequest {
     std::string machineType, zone;
     bool spot = false;
@@ -76,20 +77,21 @@
 
     // --- the cached state
     state::StateCache& state() { return context_.state(); }
-    void reset_state();  // the watch lost its place: everything is read again
+    // The watch lost its place: everything is read again.
+    void reset_state();
     void set_state_ready(bool ready) { context_.set_state_ready(ready); }
     bool state_ready() const { return context_.state_ready(); }
-    std::uint64_t member_revision() const {
-        return context_.member_revision();
-    }  // 0: this incarnation is not registered
+    // 0: this process is not registered.
+    std::uint64_t member_revision() const { return context_.member_revision(); }
     void set_availability(state::Availability next, Timestamp now) { context_.set_availability(next, now); }
     state::Availability availability() const { return context_.availability(); }
     std::uint64_t incarnation() const { return context_.incarnation(); }
 
     // --- users
-    // Known already (final, or open and the view is of this moment): the answer.
+    // The answer to a repeat of a known submission: the job is final, or open and the cached state is current.
     std::optional<Answer> known(const std::string& id);
-    Answer poll(const std::string& id);  // the view must be of this moment
+    // The cached state must be current, unless the job is final.
+    Answer poll(const std::string& id);
     // Why the job can never run; nothing if it can. `unsure` when the machine types are not known yet.
     std::optional<std::string> never_runs(const wire::JobSpec& spec, bool& unsure) const;
 
@@ -97,7 +99,7 @@
     // Answers a worker's heartbeat. The only place that grants an answer of 200, which renews the worker's lease, and
     // counts that lease from the same moment.
     HeartbeatResponse handle_heartbeat(const wire::Heartbeat& r, Timestamp now);
-    // The heartbeat that a command was answered with: it tells what is on the machine and renews nothing.
+    // The status that a command was answered with: it shows what is on the host and renews no lease.
     void handle_command_reply(const wire::Heartbeat& r, Timestamp now);
     std::vector<wire::Command> commands_for(const std::string& host, bool byCommand, Timestamp now);
     // Commands that should go out now rather than with their hosts' next heartbeats.
@@ -106,22 +108,23 @@
     void commands_answered(const std::string& host, const std::vector<wire::Command>& commands, bool answered,
                            std::uint64_t fencingToken);
     HeartbeatStatistics& heartbeat_statistics() { return heartbeatStatistics_; }
-    // Asks the next round to register the machine here.
+    // Asks the next round to register the host here.
     void request_acquisition(const wire::Heartbeat& r) { failover_.request_acquisition(r); }
     workers::HostTracker* tracker(const std::string& host) { return hosts_.find(host); }
 
     // --- rounds
     // The next transaction of this controller, empty if there is nothing to do.
     state::TransactionBuilder round(Timestamp now);
-    bool advance_time(Timestamp now);  // time alone changes things: silent and expired hosts
+    // Finds hosts that have become silent and leases that have expired. Returns whether there are any.
+    bool advance_time(Timestamp now);
     bool round_due() const { return schedule_.round_due(); }
     void request_round() { schedule_.request_round(); }
-    void request_replan() { schedule_.request_replan(); }  // a transaction did not apply: propose it all again
+    // A transaction was not applied: everything is proposed again.
+    void request_replan() { schedule_.request_replan(); }
     state::TransactionBuilder new_transaction();
     // What transactions keep to: the present limits of the state service, or the lower of these and the announced ones.
     config::StateLimits state_limits() const { return limits_.limits(); }
-    // The state service refused a transaction as malformed: the announced limits may hold already, and what it wrote is
-    // left alone for a while, so that nothing else waits for it.
+    // The state service refused a transaction that wrote these keys as malformed.
     void handle_rejected_transaction(const std::vector<std::string>& keys, Timestamp now) {
         limits_.handle_rejected_transaction(keys, now);
     }
@@ -138,7 +141,8 @@
     }
     bool may_call_cloud() const { return cloudRole_.may_call_cloud(); }
     void set_machines(std::vector<wire::Machine> machines, Timestamp now);
-    void plan_scale_out(Timestamp now);  // once for a series of calls
+    // Finds what lacks room; once for a series of scale-out requests.
+    void plan_scale_out(Timestamp now);
     std::vector<ScaleOutRequest> scale_out_requests(Timestamp now);
     void rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now);
     void refused(const ScaleOutRequest& order, Timestamp now);
@@ -151,18 +155,17 @@
     void set_peer_status(const peers::PeerStatus& peerStatus, Timestamp now) { peers_.receive(peerStatus, now); }
     peers::PeerStatus own_peer_status(double storeAgeS, Timestamp now) const;
     bool peer_has_store(Timestamp now) const { return peers_.any_has_state_service(now); }
-    // All cancellations that are confirmed, as far as this controller knows: the store's, those that it has confirmed
-    // to users itself, and those that the others told of.
+    // All cancellations that are confirmed, as far as this controller knows.
     std::vector<std::string> cancellations() const { return cancellations_.all(); }
     void record_cancellations(const std::vector<std::string>& ids) { cancellations_.record(ids); }
-    // The processes of all other controllers, by the last read; without those that are not there.
+    // The incarnation of each other controller by the last read, 0 for one that is not registered.
     std::map<std::string, std::uint64_t> others() const;
-    bool peer_heard(Timestamp now) const { return peers_.any_heard(now); }  // some other controller has spoken of late
+    bool peer_heard(Timestamp now) const { return peers_.any_heard(now); }
 
     static const char* phase_name(const state::Job& job);
 
   private:
-    // Whether a heartbeat of a machine led here may be answered with 200; then the lease is counted from now.
+    // Whether a heartbeat of a host led here may be answered with 200; then the lease is counted from now.
     bool renew_lease(const wire::Heartbeat& r, Timestamp now);
     bool in_sync(const state::HostRecord& h, const workers::HostTracker& n) const;
     void log_start(const state::HostRecord& h, const wire::Command& start, const char* sentBy, Timestamp now) const;
