--- a/src/controller/commands.cpp
+++ b/src/controller/commands.cpp
@@ -8,7 +8,6 @@
 
 namespace wellstair::controller {
 
-using state::Availability;
 using state::GangState;
 using state::HostRecord;
 using state::HostState;
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -6,7 +6,6 @@
 
 namespace wellstair::controller {
 
-using state::Availability;
 using state::HostRecord;
 using state::HostState;
 using state::Job;
@@ -40,13 +39,13 @@
 
 void Core::reset_state() {
     context_.reset_state(own_layout());
-    context_.state().on_task_change = [this](Job& j, std::uint32_t i, const Task& b, const Task& a) {
+    context_.state().onTaskChange = [this](Job& j, std::uint32_t i, const Task& b, const Task& a) {
         reconciler_.on_task_change(j, i, b, a);
         if (a.host && a.host != b.host) eligibility_.start_seen(a.host->name);
     };
     // A new fencing token, ours again or somebody else's: until the host confirms it, older commands may still reach
     // the host.
-    context_.state().on_registered = [this](HostRecord& h) {
+    context_.state().onRegistered = [this](HostRecord& h) {
         if (context_.led_here(&h)) {
             HostTracker& n = hosts_.track(h.name);
             n.begin_leadership(h.fencingToken, context_.now().steady);
@@ -57,13 +56,13 @@
         schedule_.mark_due(h);
         schedule_.request_plan();
     };
-    const auto replan_for = [this](HostRecord& h) {
+    const auto replanFor = [this](HostRecord& h) {
         schedule_.mark_due(h);
         schedule_.request_replan();
     };
-    context_.state().on_leaving = replan_for;
-    context_.state().on_removed = replan_for;
-    context_.state().on_stop = [this](Job& job) { schedule_.mark_job_due(job); };
+    context_.state().onLeaving = replanFor;
+    context_.state().onRemoved = replanFor;
+    context_.state().onStop = [this](Job& job) { schedule_.mark_job_due(job); };
 }
 
 state::TransactionBuilder Core::new_transaction() {
--- a/src/controller/heartbeats.cpp
+++ b/src/controller/heartbeats.cpp
@@ -29,7 +29,7 @@
 
 bool Core::renew_lease(const wire::Heartbeat& r, Timestamp now) {
     HostTracker& n = hosts_.track(r.host);
-    const bool countedAsEnded = n.state == HostState::expired && r.agentEpoch == n.lease.agentEpoch();
+    const bool countedAsEnded = n.state == HostState::expired && r.agentEpoch == n.lease.agent_epoch();
     const workers::WorkerLease before = n.lease;
     if (!n.lease.renew(r.agentEpoch, r.sequence, now.steady)) {
         heartbeatStatistics_.refused_as_older();
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -15,7 +15,6 @@
 using state::TaskState;
 using state::TransactionBuilder;
 using workers::HostTracker;
-using workers::ObservedTask;
 using workers::StatusSource;
 using workers::TaskKey;
 using Verdict = TerminationProof::Verdict;
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -128,7 +128,7 @@
         HostEntry none;
         none.name = name;
         static_cast<HostEntry&>(*it->second) = none;
-        if (on_removed) on_removed(*it->second);
+        if (onRemoved) onRemoved(*it->second);
         drop_host_if_unused(name);
     }
 }
@@ -142,9 +142,9 @@
     if (fresh) {
         host.registeredS = wallS;
         if (const auto* t = type(host.machineType)) host.cache.set_capacity(t->cacheGb);
-        if (on_registered) on_registered(host);
+        if (onRegistered) onRegistered(host);
     }
-    if (leaving && on_leaving) on_leaving(host);
+    if (leaving && onLeaving) onLeaving(host);
 }
 
 void StateCache::apply(const std::string& path, const Json* data, std::uint64_t revision, double wallS) {
@@ -259,7 +259,7 @@
         job.cancelledAtS = record.cancelledAtS;
     }
     if (fresh && job.spec) enqueue(job);
-    if (on_stop && job.spec && (job.state == JobState::cancelled || job.stopAttempt)) on_stop(job);
+    if (onStop && job.spec && (job.state == JobState::cancelled || job.stopAttempt)) onStop(job);
 }
 
 // Jobs of one transaction share a revision: the low bits keep their keys apart, and none may push another out.
--- a/src/state/state_cache.hpp
+++ b/src/state/state_cache.hpp
@@ -78,15 +78,15 @@
     static ChunkRecord chunk_record(const std::vector<Task>& tasks);
 
     // Called for every task that changes.
-    std::function<void(Job&, std::uint32_t index, const Task& before, const Task& after)> on_task_change;
+    std::function<void(Job&, std::uint32_t index, const Task& before, const Task& after)> onTaskChange;
     // Called when a host is registered anew: what was observed under the last fencing token proves nothing any more.
-    std::function<void(HostRecord&)> on_registered;
+    std::function<void(HostRecord&)> onRegistered;
     // Called when a host is marked for return, or is gone.
-    std::function<void(HostRecord&)> on_leaving;
+    std::function<void(HostRecord&)> onLeaving;
     // Called when the record of a host was removed: it is gone for good.
-    std::function<void(HostRecord&)> on_removed;
+    std::function<void(HostRecord&)> onRemoved;
     // Called when a job is cancelled, or its attempt is to stop.
-    std::function<void(Job&)> on_stop;
+    std::function<void(Job&)> onStop;
 
   private:
     Job& job_entry(const std::string& id);
--- a/src/state/state_cache_tasks.cpp
+++ b/src/state/state_cache_tasks.cpp
@@ -88,7 +88,7 @@
     task.atS = next.atS;
     task.quotaOwner = next.quotaOwner;
     count(task, 1);
-    if (on_task_change) on_task_change(job, index, before, task);
+    if (onTaskChange) onTaskChange(job, index, before, task);
     if (before.host && before.host != next.host) drop_host_if_unused(before.host->name);
 }
 
--- a/src/state/states.hpp
+++ b/src/state/states.hpp
@@ -9,8 +9,8 @@
 enum class JobState { active, cancelled, done, aborted };
 struct JobTraits {
     static const char* name(JobState s) {
-        constexpr const char* n[] = {"active", "cancelled", "done", "aborted"};
-        return n[static_cast<int>(s)];
+        constexpr const char* kNames[] = {"active", "cancelled", "done", "aborted"};
+        return kNames[static_cast<int>(s)];
     }
     static bool allows(JobState from, JobState to) {
         switch (from) {
@@ -28,8 +28,8 @@
 enum class TaskState : unsigned char { open, placed, done };
 struct TaskTraits {
     static const char* name(TaskState s) {
-        constexpr const char* n[] = {"open", "placed", "done"};
-        return n[static_cast<int>(s)];
+        constexpr const char* kNames[] = {"open", "placed", "done"};
+        return kNames[static_cast<int>(s)];
     }
     static bool allows(TaskState from, TaskState to) {
         // A watch may fold several changes into one, so every change but one away from done can be seen.
@@ -48,8 +48,8 @@
 };
 struct HostTraits {
     static const char* name(HostState s) {
-        constexpr const char* n[] = {"acquiring", "led", "confirmed", "silent", "expired", "released"};
-        return n[static_cast<int>(s)];
+        constexpr const char* kNames[] = {"acquiring", "led", "confirmed", "silent", "expired", "released"};
+        return kNames[static_cast<int>(s)];
     }
     static bool allows(HostState from, HostState to) {
         switch (to) {
@@ -82,8 +82,8 @@
 };
 struct AvailabilityTraits {
     static const char* name(Availability s) {
-        constexpr const char* n[] = {"joining", "serving", "disconnected", "isolated"};
-        return n[static_cast<int>(s)];
+        constexpr const char* kNames[] = {"joining", "serving", "disconnected", "isolated"};
+        return kNames[static_cast<int>(s)];
     }
     static bool allows(Availability from, Availability to) { return from != to; }
 };
--- a/src/workers/worker_lease.hpp
+++ b/src/workers/worker_lease.hpp
@@ -26,7 +26,7 @@
     // Not before the worker's own clock says so, whatever of the drift of the two clocks is possible.
     bool ended(double nowS, double leaseS) const;
 
-    std::uint64_t agentEpoch() const { return agentEpoch_; }
+    std::uint64_t agent_epoch() const { return agentEpoch_; }
     std::uint64_t sequence() const { return sequence_; }
     // Session, number and age of the heartbeat that it was renewed by, for the log.
     std::string describe(double nowS) const;
--- a/tests/shard_split_test.cpp
+++ b/tests/shard_split_test.cpp
@@ -150,9 +150,9 @@
     a.other_is_new();
     a.round();
     int registered = 0, removed = 0;
-    auto registration = a.state().on_registered;
-    a.state().on_registered = [&](state::HostRecord& h) { ++registered, registration(h); };
-    a.state().on_removed = [&](state::HostRecord&) { ++removed; };
+    auto registration = a.state().onRegistered;
+    a.state().onRegistered = [&](state::HostRecord& h) { ++registered, registration(h); };
+    a.state().onRemoved = [&](state::HostRecord&) { ++removed; };
     const double seen = a.state().host("n-000400")->registeredS;
     while (state::HostShard* large = oversized_shard(a.state())) {
         auto builder = a.core().new_transaction();
