--- a/src/autoscaling/cloud_role.cpp
+++ b/src/autoscaling/cloud_role.cpp
@@ -5,13 +5,13 @@
 namespace wellstair::autoscaling {
 
 bool CloudRole::held_here() const {
-    return context_.state().cloud_role() == context_.member() &&
+    return context_.state().cloud_role_holder() == context_.member() &&
            context_.state().cloud_role_incarnation() == context_.incarnation();
 }
 
 bool CloudRole::may_acquire() const {
     if (!context_.state().cloud_role_revision()) return true;
-    return context_.state().cloud_role() == context_.member() && !held_here();
+    return context_.state().cloud_role_holder() == context_.member() && !held_here();
 }
 
 bool CloudRole::acquire(state::TransactionBuilder& builder, std::uint64_t memberLeaseId) const {
--- a/src/autoscaling/scale_in_policy.cpp
+++ b/src/autoscaling/scale_in_policy.cpp
@@ -67,7 +67,7 @@
     Silence silence;
     for (const auto& [name, tracker] : hosts_.all()) {
         const HostRecord* host = context_.state().host(name);
-        if (!context_.led_here(host) || host->leaves()) continue;
+        if (!context_.led_here(host) || host->returning()) continue;
         const bool silent = hosts_.silent(tracker, now);
         for (SilentCount* count : {&silence.byZone[host->zone], &silence.total}) {
             count->silent += silent;
@@ -110,9 +110,9 @@
     const bool unreachable = unreachable_for_long(tracker, now);
     // A host that has been silent for so long has broken the gangs that had tasks there, and their next attempt waits
     // for the proof that these are gone. The cloud's confirmation comes sooner than the lease expiry.
-    const bool holdsUpGang =
-        silentS > hosts_.silent_after() + settings.gangPeerS && zoneHeard &&
-        std::any_of(host.placed.begin(), host.placed.end(), [](const TaskRef& ref) { return ref.job->wide_gang(); });
+    const bool holdsUpGang = silentS > hosts_.silent_after() + settings.gangPeerS && zoneHeard &&
+                             std::any_of(host.placed.begin(), host.placed.end(),
+                                         [](const TaskRef& ref) { return ref.job->multi_task_gang(); });
     const bool holdsCancelled = !cutOff && cancellations_.holds_cancelled(host, tracker, now);
     const bool holdsReplica = !cutOff && zoneHeard && tracker.state == HostState::silent &&
                               silentS > kServiceSilentHeartbeats * settings.heartbeatIntervalS && holds_service(host);
@@ -154,7 +154,7 @@
     const Silence silence = count_silent(now);
     for (const auto& [name, tracker] : hosts_.all()) {
         const HostRecord* host = context_.state().host(name);
-        if (!context_.led_here(host) || host->leaves()) continue;
+        if (!context_.led_here(host) || host->returning()) continue;
         const Verdict verdict = judge_led(*host, tracker, silence, now);
         if (verdict.reason == Reason::none) continue;
         const auto atS = verdict.maySave ? markedAtS : expiredAtS;
@@ -169,9 +169,9 @@
     std::vector<HostRecord*> removable;
     for (const auto& [name, host] : context_.state().hosts()) {
         if (!host->shard) continue;
-        if (host->gone() && host->placed.empty() && now.wall - host->leavingAtS > kRemoveRecordLeases * leaseS)
+        if (host->gone() && host->placed.empty() && now.wall - host->returnStateAtS > kRemoveRecordLeases * leaseS)
             removable.push_back(host.get());
-        if (host->leaves() || !host->registered()) continue;
+        if (host->returning() || !host->registered()) continue;
         // Its leader has failed: either it finds another controller soon, or it is dead or cut off.
         auto [since, isNew] = unownedSinceS_.try_emplace(name, now.steady);
         if (!context_.unowned(*host))
@@ -180,7 +180,7 @@
             builder.mark_for_return(name, host->zone, markedAtS, false, "unowned");
         auto idle = idleHosts_.find(name);
         if (idle == idleHosts_.end() || !host->placed.empty()) continue;
-        const auto* type = context_.state().type(host->machineType);
+        const auto* type = context_.state().machine_type(host->machineType);
         if (type && now.steady - idle->second > std::max(kSurplusLeases * leaseS, kSurplusBoots * type->startupS))
             builder.mark_for_return(name, host->zone, markedAtS, false, "surplus");
     }
@@ -195,8 +195,8 @@
     const config::Settings& settings = context_.settings();
     for (const wire::Machine& machine : machines_) {
         const HostRecord* host = context_.state().host(machine.name);
-        if (host && host->leaves()) continue;
-        const auto* type = context_.state().type(machine.machineType);
+        if (host && host->returning()) continue;
+        const auto* type = context_.state().machine_type(machine.machineType);
         const double bootS = type ? type->startupS : kUnknownBootS;
         const bool registered = host && host->registered();
         const bool running = machine.phase == "running";
@@ -217,9 +217,9 @@
     std::vector<std::string> hosts;
     if (!role_.held_here()) return hosts;
     for (const auto& [name, host] : context_.state().hosts()) {
-        if (host->leaving != state::Leaving::marked) continue;
+        if (host->returnState != state::ReturnState::marked) continue;
         // What runs there gets the time to save.
-        const bool evictionOver = now.wall - host->leavingAtS > kEvictionLeases * context_.settings().leaseS;
+        const bool evictionOver = now.wall - host->returnStateAtS > kEvictionLeases * context_.settings().leaseS;
         if (host->placed.empty() || evictionOver) hosts.push_back(name);
         if (hosts.size() == kHostsPerCall) break;
     }
@@ -229,7 +229,7 @@
 void ScaleInPolicy::mark_gone(TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now) {
     for (const std::string& name : hosts) {
         const HostRecord* host = context_.state().host(name);
-        if (host && host->leaving == state::Leaving::marked)
+        if (host && host->returnState == state::ReturnState::marked)
             builder.mark_for_return(name, host->zone, static_cast<std::int64_t>(now.wall), true, "returned");
     }
 }
--- a/src/controller/commands.cpp
+++ b/src/controller/commands.cpp
@@ -51,13 +51,13 @@
             bool first = note.attempt != s.attempt;
             if (first) note = {s.attempt, now.steady};
             bool useless = cancellations_.cancelled(*ref.job) || ref.job->spec->checkpointIntervalS <= 0;
-            bool orderly = !useless && (!ref.job->wide_gang() || ref.job->gang_state() != GangState::broken);
+            bool orderly = !useless && (!ref.job->multi_task_gang() || ref.job->gang_state() != GangState::partial);
             double gracePeriod = orderly ? ref.job->spec->checkpointWriteS + settings_.heartbeatIntervalS : 0;
             if (seen->second.phase == wire::TaskPhase::checkpointing && orderly) continue;
             stops.push_back({wire::CommandType::stop, key.first, key.second, s.attempt, gracePeriod});
         }
         if (!there && !stop && s.fencingToken == h->fencingToken && n->state == HostState::confirmed &&
-            context_.serving() && n->seenToken == h->fencingToken && !h->leaves()) {
+            context_.serving() && n->seenToken == h->fencingToken && !h->returning()) {
             auto st = n->starts.find(key);
             bool sent = st != n->starts.end() && st->second.attempt == s.attempt;
             if (sent && (st->second.seen || st->second.agentEpoch != n->agentEpoch)) continue;
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -60,7 +60,7 @@
         schedule_.mark_due(h);
         schedule_.request_replan();
     };
-    context_.state().onLeaving = replanFor;
+    context_.state().onReturnStateChange = replanFor;
     context_.state().onRemoved = replanFor;
     context_.state().onStop = [this](Job& job) { schedule_.mark_job_due(job); };
 }
@@ -83,7 +83,7 @@
 }
 
 std::optional<Answer> Core::known(const std::string& id) {
-    if (const auto* f = context_.state().final(id))
+    if (const auto* f = context_.state().outcome(id))
         return Answer{200, {{"ref", id}, {"phase", f->state == JobState::done ? "done" : "aborted"}}, 0};
     if (const Job* job = context_.state().job(id))
         return Answer{
@@ -108,12 +108,12 @@
     if (team->gpusMax > 0 && s.gpus * tasks > team->gpusMax + 1e-9) return "more GPUs than the limit of team " + s.team;
     if (state::TransactionBuilder::submission_size(s) > state_limits().value_bytes())
         return "the description is larger than can be stored";
-    if (context_.state().types().empty()) {
+    if (context_.state().machine_types().empty()) {
         unsure = true;
         return std::nullopt;
     }
     std::set<std::string> zones;  // in which a task may run
-    for (const auto& [name, t] : context_.state().types()) {
+    for (const auto& [name, t] : context_.state().machine_types()) {
         if (s.machineTypes && std::find(s.machineTypes->begin(), s.machineTypes->end(), name) == s.machineTypes->end())
             continue;
         if (!placement::Need{s.cores, s.gpus, s.ramGb}.fits({t.cores, t.gpus, t.ramGb})) continue;
@@ -152,7 +152,7 @@
         }
         if (context_.state_ready() && !context_.led_here(h)) {
             if (n.state != HostState::released) {
-                n.state.become(HostState::released);
+                n.state.transition_to(HostState::released);
                 spdlog::info("no longer leader of host {}", name);
             }
             if (n.lease.age(now.steady) > settings_.leaseS) {
@@ -163,14 +163,14 @@
             continue;
         }
         if (n.state == HostState::confirmed && hosts_.silent(n, now)) {
-            n.state.become(HostState::silent);
+            n.state.transition_to(HostState::silent);
             spdlog::info("host {} is silent: lease {}", name, n.lease.describe(now.steady));
             changed = true;
             schedule_.request_plan();
         }
         // Only our own fencing token can renew the lease (the host has confirmed it), and nobody else may use that.
         if (n.state == HostState::silent && n.lease.ended(now.steady, settings_.leaseS)) {
-            n.state.become(HostState::expired);
+            n.state.transition_to(HostState::expired);
             heartbeatStatistics_.lease_ended();
             spdlog::info(
                 "lease of host {} has expired with {} tasks: lease {}, newest heartbeat {}/{}, fencing token {}", name,
--- a/src/controller/scale_out.cpp
+++ b/src/controller/scale_out.cpp
@@ -42,7 +42,7 @@
 void Core::plan_scale_out(Timestamp now) {
     context_.set_now(now);
     unmetDemand_.clear();
-    if (!holds_cloud_role() || context_.state().types().empty()) return;
+    if (!holds_cloud_role() || context_.state().machine_types().empty()) return;
     scheduling::Plan plan = planner_.make_plan(now, scheduling::PlanPurpose::estimate_demand);
     for (const auto& u : plan.unmet) unmetDemand_.emplace_back(*u.job->spec, u.tasks);
     // Ahead of demand: what usually arrives while a machine boots.
@@ -52,7 +52,7 @@
         double tasks = 0;
         for (const auto& [at, n] : jobClass.arrivals) tasks += n;
         double boot = 0;
-        for (const auto& [typeName, t] : context_.state().types())
+        for (const auto& [typeName, t] : context_.state().machine_types())
             if (need_of(jobClass.last).fits({t.cores, t.gpus, t.ramGb})) boot = std::max(boot, t.startupS);
         auto target = static_cast<std::uint32_t>(std::ceil(tunables_.headroom * tasks * boot / window));
         const config::Team* team = settings_.team(jobClass.last.team);
@@ -74,11 +74,11 @@
 
 std::vector<ScaleOutRequest> Core::scale_out_requests(Timestamp now) {
     std::vector<ScaleOutRequest> out;
-    if (!holds_cloud_role() || context_.state().types().empty()) return out;
+    if (!holds_cloud_role() || context_.state().machine_types().empty()) return out;
     std::erase_if(pendingHosts_, [&](auto& e) {
         HostRecord* h = context_.state().host(e.first);
-        const auto* t = context_.state().type(e.second.what.machineType);
-        return (h && (h->registered() || h->leaves())) ||
+        const auto* t = context_.state().machine_type(e.second.what.machineType);
+        return (h && (h->registered() || h->returning())) ||
                now.steady - e.second.sinceS > 4 * (t ? t->startupS : 60) + 30;
     });
     std::vector<placement::Offer> offers;
@@ -86,7 +86,7 @@
     std::vector<ScaleOutRequest> kinds;
     std::map<std::string, std::uint32_t> onTheWay;
     for (const auto& [name, c] : pendingHosts_) ++onTheWay[offer_key(c.what)];
-    for (const auto& [typeName, t] : context_.state().types())
+    for (const auto& [typeName, t] : context_.state().machine_types())
         for (const std::string& zone : t.zones)
             for (bool spot : {false, true}) {
                 ScaleOutRequest kind{typeName, zone, spot, 0};
--- a/src/failover/host_failover.cpp
+++ b/src/failover/host_failover.cpp
@@ -191,8 +191,8 @@
     const config::Settings& settings = context_.settings();
     const state::MemberRecord& record = context_.state().members().at(member);
     const peers::ReceivedStatus* peer = peers_.find(member);
-    const bool established = now.wall - record.sinceS > settings.heartbeatIntervalS && peer && peer->status.serving &&
-                             peer->age(now) < kStatusFreshFor * settings.heartbeatIntervalS;
+    const bool established = now.wall - record.joinedAtS > settings.heartbeatIntervalS && peer &&
+                             peer->status.serving && peer->age(now) < kStatusFreshFor * settings.heartbeatIntervalS;
     if (!established) return false;
     auto unreached = unreachedAtS_.find(member);
     return unreached == unreachedAtS_.end() || now.steady - unreached->second >= kUnreachedLeases * settings.leaseS;
@@ -203,7 +203,7 @@
     bool any = false;
     for (HostRecord* host : shard.hosts) {
         const HostTracker* tracker = hosts_.find(host->name);
-        if (!context_.led_here(host) || host->leaves() || !tracker) continue;
+        if (!context_.led_here(host) || host->returning() || !tracker) continue;
         if (tracker->state != HostState::confirmed || tracker->needFence || tracker->missedAnswers) continue;
         any = builder.acquire(*host, member, incarnation) || any;
     }
--- a/src/leadership/cancellation_registry.cpp
+++ b/src/leadership/cancellation_registry.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 bool CancellationRegistry::cancelled(const std::string& id) const {
-    if (const auto* final = context_.state().final(id)) return final->state == JobState::aborted;
+    if (const auto* final = context_.state().outcome(id)) return final->state == JobState::aborted;
     if (uncached_.count(id)) return true;
     const Job* job = context_.state().job(id);
     return job && job->state == JobState::cancelled;
@@ -51,7 +51,7 @@
 void CancellationRegistry::forget_cached() {
     std::erase_if(uncached_, [&](const std::string& id) {
         const Job* job = context_.state().job(id);
-        return context_.state().final(id) || (job && job->state == JobState::cancelled);
+        return context_.state().outcome(id) || (job && job->state == JobState::cancelled);
     });
 }
 
--- a/src/leadership/controller_context.cpp
+++ b/src/leadership/controller_context.cpp
@@ -19,7 +19,7 @@
 
 void ControllerContext::set_availability(Availability next, Timestamp now) {
     const Availability before = availability_;
-    if (!availability_.become(next)) return;
+    if (!availability_.transition_to(next)) return;
     if (next == Availability::serving) servingSinceS_ = now.steady;
     spdlog::info("availability {} -> {}", AvailabilityTraits::name(before), AvailabilityTraits::name(next));
 }
--- a/src/reconciliation/job_history.cpp
+++ b/src/reconciliation/job_history.cpp
@@ -10,7 +10,7 @@
 }
 
 double JobHistories::open_since(const state::Job& service) const {
-    const auto submitted = static_cast<double>(service.atS);
+    const auto submitted = static_cast<double>(service.submittedAtS);
     auto lost = replicaLostAtS_.find(service.id);
     return lost == replicaLostAtS_.end() ? submitted : std::max(submitted, lost->second);
 }
--- a/src/reconciliation/stop_decision.cpp
+++ b/src/reconciliation/stop_decision.cpp
@@ -4,8 +4,8 @@
 
 bool stopping(const leadership::CancellationRegistry& cancellations, const state::Job& job, const state::Task& task) {
     if (cancellations.cancelled(job)) return true;
-    if (!job.wide_gang()) return false;
-    return job.gang_state() == state::GangState::broken || (job.stopAttempt && job.stopAttempt == task.attempt);
+    if (!job.multi_task_gang()) return false;
+    return job.gang_state() == state::GangState::partial || (job.stopAttempt && job.stopAttempt == task.attempt);
 }
 
 }  // namespace wellstair::reconciliation
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -31,7 +31,7 @@
 void confirm_leadership(const std::string& host, HostTracker& tracker) {
     if (tracker.state == HostState::expired || tracker.state == HostState::silent)
         spdlog::info("host {} sends heartbeats again", host);
-    tracker.state.become(HostState::confirmed);
+    tracker.state.transition_to(HostState::confirmed);
 }
 
 // What becomes of a task that is proven to be done or gone.
@@ -76,7 +76,7 @@
     changed = changed || noticeChanged || tasksBefore.size() != tracker.tasks.size();
 
     if (tracker.state == HostState::acquiring || tracker.state == HostState::released)
-        tracker.state.become(HostState::led);
+        tracker.state.transition_to(HostState::led);
     // The host has seen our fencing token: it refuses every command under an older one from here on.
     const bool confirms = heartbeat.fencingToken == host->fencingToken && source == StatusSource::heartbeat;
     if (confirms && tracker.state != HostState::confirmed) confirm_leadership(heartbeat.host, tracker);
@@ -109,7 +109,7 @@
     if (!job) return;
     host.cache.ready(job->spec->image, job->spec->imageGb, now.wall);
     spdlog::debug("task {}/{} of {} runs on {}, {:.1f} s after its submission", key.first, key.second, job->spec->team,
-                  host.name, now.wall - static_cast<double>(job->atS));
+                  host.name, now.wall - static_cast<double>(job->submittedAtS));
 }
 
 void TaskReconciler::on_task_change(Job& job, std::uint32_t index, const Task& before, const Task& after) {
@@ -141,7 +141,7 @@
 bool TaskReconciler::release_tasks_of(HostRecord& host, TransactionBuilder& builder, Timestamp now) {
     HostTracker* tracker = hosts_.find(host.name);
     // By the cloud's notice, or because this cluster returns it.
-    const bool returning = tracker && (tracker->preemptionAtS || host.leaves()) && !host.gone();
+    const bool returning = tracker && (tracker->preemptionAtS || host.returning()) && !host.gone();
     const std::vector<TaskRef> placed = host.placed;
     for (const TaskRef& ref : placed) {
         if (returning) stop_for_return(ref, *tracker, builder, now);
@@ -159,7 +159,7 @@
 void TaskReconciler::stop_for_return(const TaskRef& ref, HostTracker& tracker, TransactionBuilder& builder,
                                      Timestamp now) {
     Job& job = *ref.job;
-    if (job.wide_gang()) {
+    if (job.multi_task_gang()) {
         const std::uint32_t attempt = job.task(ref.index, context_.state().chunk_size()).attempt;
         if (job.stopAttempt != attempt && job.state == JobState::active) builder.stop_attempt(job, attempt);
         return;
@@ -178,7 +178,7 @@
         const Task other = job.task(i, state.chunk_size());
         if (!other.host) return false;
         const double fetchS = job.spec->imageGb / state.fetch_rate(other.host->machineType);
-        const double placedForS = now.wall - static_cast<double>(other.atS);
+        const double placedForS = now.wall - static_cast<double>(other.placedAtS);
         if (placedForS < fetchS + context_.settings().heartbeatIntervalS) return false;
         const HostTracker* tracker = hosts_.find(other.host->name);
         if (tracker && tracker->evict.count({job.id, i})) return false;
--- a/src/reconciliation/termination_proof.cpp
+++ b/src/reconciliation/termination_proof.cpp
@@ -66,7 +66,7 @@
     if (task.fencingToken != host.fencingToken)
         return gone("placed under an older fencing token, and absent under this one");
     const bool stops = stopping(cancellations_, job, task);
-    if (!sent) return stops || host.leaves() ? gone("never sent") : TerminationProof{};
+    if (!sent) return stops || host.returning() ? gone("never sent") : TerminationProof{};
     if (sent->seen) return gone("no longer in heartbeats");
     // Sent with the response to a heartbeat and absent from a newer heartbeat: the worker dropped it then and cannot
     // execute it late.
--- a/src/scheduling/demand_history.cpp
+++ b/src/scheduling/demand_history.cpp
@@ -29,7 +29,8 @@
         if (!counted_.insert(job->id).second) continue;
         ClassArrivals& jobClass = byClass_[job->spec->jobClass];
         jobClass.last = *job->spec;
-        jobClass.arrivals.push_back({now.steady - (now.wall - static_cast<double>(job->atS)), job->spec->taskCount});
+        jobClass.arrivals.push_back(
+            {now.steady - (now.wall - static_cast<double>(job->submittedAtS)), job->spec->taskCount});
     }
     if (counted_.size() > kMostCounted)
         std::erase_if(counted_, [&](const std::string& id) { return !context_.state().job(id); });
--- a/src/scheduling/host_eligibility.cpp
+++ b/src/scheduling/host_eligibility.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 bool HostEligibility::eligible(const HostRecord& host, Timestamp now) const {
-    if (!host.registered() || host.leaves() || !context_.state().member_live(host.leader)) return false;
+    if (!host.registered() || host.returning() || !context_.state().member_live(host.leader)) return false;
     return context_.led_here(&host) ? own_host_eligible(host, now) : peer_host_eligible(host, now);
 }
 
--- a/src/scheduling/job_ageing.cpp
+++ b/src/scheduling/job_ageing.cpp
@@ -30,8 +30,8 @@
         const Job& job = *queued.job;
         const bool begun = job.placed + job.done > 0;
         if (begun && (job.gang() || job.service())) continue;
-        const double leases = begun ? kBegunLeases : job.wide_gang() ? kGangLeases : kBatchLeases;
-        if (now.wall - job.atS < leases * context_.settings().leaseS) continue;
+        const double leases = begun ? kBegunLeases : job.multi_task_gang() ? kGangLeases : kBatchLeases;
+        if (now.wall - job.submittedAtS < leases * context_.settings().leaseS) continue;
         if (has_team_room(*job.spec)) aged.push_back(&queued);
     }
     return aged;
@@ -43,8 +43,8 @@
     const double leaseS = context_.settings().leaseS;
     const bool lateTurn = static_cast<std::int64_t>(now.wall / leaseS) % kLateTurn == 0;
     const auto key = [&](const QueuedJob* queued) {
-        const bool late = now.wall - queued->job->atS > kLateLeases * leaseS;
-        return std::pair(late && !lateTurn, queued->job->order);
+        const bool late = now.wall - queued->job->submittedAtS > kLateLeases * leaseS;
+        return std::pair(late && !lateTurn, queued->job->submissionRevision);
     };
     std::sort(aged.begin(), aged.end(), [&](const QueuedJob* a, const QueuedJob* b) { return key(a) < key(b); });
     NextStart next = nextStart_;
@@ -65,14 +65,14 @@
     const auto fits = [&](double limit, std::int64_t usedMilli, double perTask) {
         return limit <= 0 || static_cast<double>(usedMilli) / 1000 + perTask * tasks <= limit + kTolerance;
     };
-    const state::Use& used = record->second.total;
+    const state::QuotaAmount& used = record->second.total;
     return fits(team->cpusMax, used.cores, spec.cores) && fits(team->gpusMax, used.gpus, spec.gpus);
 }
 
 void JobAgeing::use_share(NextStart& next, const QueuedJob& queued, std::uint32_t tasks, Timestamp now) const {
     const wire::JobSpec& spec = *queued.job->spec;
     const double turnoverS =
-        turnover_s(spec, context_.settings()) / (queued.job->wide_gang() ? kGangShare : kBatchShare);
+        turnover_s(spec, context_.settings()) / (queued.job->multi_task_gang() ? kGangShare : kBatchShare);
     const auto use = [&](double& nextS, double share) { nextS = std::max(nextS, now.steady) + share * turnoverS; };
     use(next.onMachinesS, queued.share * tasks / queued.job->open());
     const config::Team* team = context_.settings().team(spec.team);
--- a/src/scheduling/placement_model.cpp
+++ b/src/scheduling/placement_model.cpp
@@ -65,7 +65,7 @@
 ClusterSnapshot PlacementModel::snapshot(Timestamp now) {
     ClusterSnapshot cluster;
     for (const auto& [name, host] : context_.state().hosts())
-        if (eligibility_.eligible(*host, now) && context_.state().type(host->machineType))
+        if (eligibility_.eligible(*host, now) && context_.state().machine_type(host->machineType))
             cluster.records.push_back(host.get());
     std::sort(cluster.records.begin(), cluster.records.end(),
               [](const HostRecord* a, const HostRecord* b) { return a->name < b->name; });
@@ -75,7 +75,7 @@
 }
 
 Machine PlacementModel::machine_of(const HostRecord& host, Timestamp now) {
-    const wire::MachineType& type = *context_.state().type(host.machineType);
+    const wire::MachineType& type = *context_.state().machine_type(host.machineType);
     const bool ledHere = context_.led_here(&host);
     Machine machine;
     machine.nodePool = node_pool_id(host.machineType, host.zone, host.spot);
@@ -100,7 +100,7 @@
     const wire::JobSpec& spec = *ref.job->spec;
     const double intervalS = context_.settings().heartbeatIntervalS;
     const Task task = ref.job->task(ref.index, context_.state().chunk_size());
-    double until = task.atS + spec.imageGb / machine.fetchGbPerS + occupied_s(spec);
+    double until = task.placedAtS + spec.imageGb / machine.fetchGbPerS + occupied_s(spec);
     until = std::max(until, now.wall + std::max(intervalS, spec.estimatedDurationS / kOverdueDivisor));
     const bool preempted = tracker && tracker->evict.count({ref.job->id, ref.index});
     if (preempted) until = now.wall + spec.checkpointWriteS + intervalS / kStopDelayDivisor;
--- a/src/scheduling/plan_builder.cpp
+++ b/src/scheduling/plan_builder.cpp
@@ -66,7 +66,7 @@
     const auto& records = inputs_.context.state().teams();
     for (const config::Team& team : settings_.teams) {
         auto record = records.find(team.name);
-        const state::Use used = record == records.end() ? state::Use{} : record->second.total;
+        const state::QuotaAmount used = record == records.end() ? state::QuotaAmount{} : record->second.total;
         const double cores = used.cores / 1000.0;
         const double gpus = used.gpus / 1000.0;
         const Need room{team.cpusMax > 0 ? team.cpusMax - cores : kUnlimited,
@@ -103,7 +103,7 @@
     Job& job = *queued.job;
     if (!may_start(job)) return;
     const wire::JobSpec& spec = *job.spec;
-    const bool gang = job.wide_gang();
+    const bool gang = job.multi_task_gang();
     TeamRoom& room = teamRoom_[spec.team];
     const TaskRange range = startable_tasks(queued, room);
     if (range.most < range.least) {
@@ -130,7 +130,7 @@
 
 bool PlanBuilder::may_start(const Job& job) {
     if (inputs_.jobHistories.backing_off(job.id, now_)) return false;
-    if (job.wide_gang() && job.gang_state() != state::GangState::open) return false;
+    if (job.multi_task_gang() && job.gang_state() != state::GangState::open) return false;
     if (!starting()) return true;
     const double turnS = turn_s(job);
     if (turnS <= now_.wall) return true;
@@ -148,7 +148,7 @@
     const double afterS = turn * (settings_.heartbeatIntervalS / kTurnDivisor);
     // All replicas of a service are placed by its responsible controller, on any host; by others only if it does not.
     if (job.service()) return inputs_.jobHistories.open_since(job) + settings_.heartbeatIntervalS + afterS;
-    return static_cast<double>(job.atS) + kFirstTurnS + afterS;
+    return static_cast<double>(job.submittedAtS) + kFirstTurnS + afterS;
 }
 
 Need PlanBuilder::need_kept_from(const QueuedJob& queued) const {
@@ -159,7 +159,7 @@
 PlanBuilder::TaskRange PlanBuilder::startable_tasks(const QueuedJob& queued, const TeamRoom& room) const {
     const wire::JobSpec& spec = *queued.job->spec;
     const std::uint32_t fit = placement::times(room.left - need_kept_from(queued), quota_need_of(spec));
-    if (queued.job->wide_gang()) return {spec.taskCount, fit < spec.taskCount ? 0 : spec.taskCount};
+    if (queued.job->multi_task_gang()) return {spec.taskCount, fit < spec.taskCount ? 0 : spec.taskCount};
     return {1, std::min(fit, kMostTasksOfJob)};
 }
 
@@ -206,7 +206,7 @@
 
 PlanBuilder::Started PlanBuilder::record_starts(Job& job, const std::vector<Slot>& slots) {
     const std::uint32_t chunkSize = inputs_.context.state().chunk_size();
-    const bool gang = job.wide_gang();
+    const bool gang = job.multi_task_gang();
     Started started;
     PlannedStart whole{&job, {}, 0};  // of a gang
     for (const Slot& slot : slots) {
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -63,13 +63,13 @@
     const bool borrowed =
         !unmet.overQuota && victim.team != spec.team && pass.overQuota.count(task.job) && !victim.service();
     if (!lowerPriority && !borrowed) return false;
-    return task.job != unmet.job && !task.job->wide_gang() && !pass.preempted.count({task.job, task.index});
+    return task.job != unmet.job && !task.job->multi_task_gang() && !pass.preempted.count({task.job, task.index});
 }
 
 double Preemption::preemption_cost_s(const TaskRef& task, const Machine& machine, Timestamp now) const {
     const wire::JobSpec& spec = *task.job->spec;
     const double intervalS = context_.settings().heartbeatIntervalS;
-    const double ranS = now.wall - task.job->task(task.index, context_.state().chunk_size()).atS;
+    const double ranS = now.wall - task.job->task(task.index, context_.state().chunk_size()).placedAtS;
     const double leftS = occupied_s(spec) - ranS;
     // A task that is about to end is preempted last.
     const double aboutToEndS = leftS < intervalS ? spec.estimatedDurationS : 0;
@@ -104,7 +104,7 @@
                             const std::vector<Victim>& victims, std::vector<Place>& places) {
     const wire::JobSpec& spec = *unmet.job->spec;
     const Machine& machine = pass.plan.machines[machineIndex];
-    const bool gang = unmet.job->wide_gang();
+    const bool gang = unmet.job->multi_task_gang();
     const Need need = need_of(spec);
     // Without victims, only a gang has a use for what is free: its other places may take victims.
     if (victims.empty() && !gang) return;
@@ -129,7 +129,7 @@
 
 std::vector<Preemption::Place> Preemption::choose_places(const Pass& pass, const UnmetDemand& unmet,
                                                          std::vector<Place> places) {
-    const bool gang = unmet.job->wide_gang();
+    const bool gang = unmet.job->multi_task_gang();
     if (gang && unmet.job->spec->coLocated) return choose_in_one_zone(pass, unmet, places);
     if (places.size() > unmet.tasks) places.resize(unmet.tasks);
     if (gang && places.size() < unmet.tasks) places.clear();
@@ -152,7 +152,7 @@
 
 void Preemption::drop_costly(const Pass& pass, const UnmetDemand& unmet, std::vector<Place>& chosen) {
     while (!chosen.empty() && pass.now.wall + chosen.back().costS > unmet.soonestS) {
-        if (unmet.job->wide_gang())
+        if (unmet.job->multi_task_gang())
             chosen.clear();
         else
             chosen.pop_back();
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -128,7 +128,7 @@
             room.push_back(&curve);
             places.push_back(last);
             queued.share = curve.all() ? static_cast<double>(queued.job->open()) / curve.all() : 0;
-            const double waitedS = now.wall - static_cast<double>(queued.job->atS);
+            const double waitedS = now.wall - static_cast<double>(queued.job->submittedAtS);
             DueJob due{queued.share, 0, due_times(spec, queued.overQuota)};
             for (double& dueS : due.due) dueS -= spec.estimatedDurationS + waitedS;  // to start by
             due.due.push_back(JobAgeing::kGangLeases * context_.settings().leaseS - waitedS);
@@ -168,7 +168,7 @@
         const double perTask = byGpu ? spec.gpus : spec.cores;
         wanted += perTask * (spec.taskCount - job.done);
         DueJob due{remaining_s(job, now) * perTask, spec.estimatedDurationS, due_times(spec, queue[place].overQuota)};
-        for (double& dueS : due.due) dueS -= now.wall - job.atS;
+        for (double& dueS : due.due) dueS -= now.wall - job.submittedAtS;
         jobs.push_back(std::move(due));
     }
     if (limit <= 0 || wanted <= limit) return;
@@ -183,7 +183,7 @@
         if (!chunk.placed) continue;
         for (const Task& task : chunk.tasks)
             if (task.state == TaskState::placed)
-                remaining += std::max(runS / kLeastRemainingDivisor, runS - (now.wall - task.atS));
+                remaining += std::max(runS / kLeastRemainingDivisor, runS - (now.wall - task.placedAtS));
     }
     return remaining;
 }
--- a/src/service/cloud_loop.cpp
+++ b/src/service/cloud_loop.cpp
@@ -58,7 +58,7 @@
 }
 
 asio::awaitable<void> CloudLoop::refresh_types(double nowS) {
-    if (!context_.core.state().types().empty() && nowS - typesReadS_ <= kTypesValidS) co_return;
+    if (!context_.core.state().machine_types().empty() && nowS - typesReadS_ <= kTypesValidS) co_return;
     auto types = co_await cloud_.types();
     if (!types) co_return;
     typesReadS_ = nowS;
@@ -69,11 +69,11 @@
     controller::Core& core = context_.core;
     Json list = type_list(types);
     if (const std::size_t size = list.dump().size(); size > core.state_limits().value_bytes()) {
-        spdlog::error("{} of {} bytes is larger than a value may be: not written", keys::kTypes, size);
+        spdlog::error("{} of {} bytes is larger than a value may be: not written", keys::kMachineTypes, size);
         co_return;
     }
     state::TransactionBuilder builder = core.new_transaction();
-    builder.put(keys::kTypes, core.state().types_revision(), std::move(list), 0);
+    builder.put(keys::kMachineTypes, core.state().machine_types_revision(), std::move(list), 0);
     co_await commit(std::move(builder));
 }
 
--- a/src/service/user_api.cpp
+++ b/src/service/user_api.cpp
@@ -56,7 +56,7 @@
 
 asio::awaitable<Response> UserApi::accept(wire::JobSpec spec) {
     controller::Core& core = context_.core;
-    if (core.state().final(spec.id)) co_return to_response(*core.known(spec.id));
+    if (core.state().outcome(spec.id)) co_return to_response(*core.known(spec.id));
     if (core.state().job(spec.id)) {
         auto repeat = co_await repeat_answer(spec.id);
         if (repeat) co_return *repeat;
@@ -67,7 +67,7 @@
 
 asio::awaitable<Response> UserApi::poll(std::string id) {
     controller::Core& core = context_.core;
-    if (core.state().final(id)) co_return to_response(core.poll(id));
+    if (core.state().outcome(id)) co_return to_response(core.poll(id));
     const bool current = co_await state_is_current();
     if (!current) co_return unavailable(kStoreDoesNotAnswer);
     co_return to_response(core.poll(id));
@@ -75,7 +75,7 @@
 
 asio::awaitable<Response> UserApi::cancel(std::string id) {
     controller::Core& core = context_.core;
-    if (core.state().final(id)) co_return to_response(core.poll(id));
+    if (core.state().outcome(id)) co_return to_response(core.poll(id));
     const bool current = co_await state_is_current();
     if (!current) co_return unavailable(kStoreDoesNotAnswer);
     auto* job = core.state().job(id);
--- a/src/service/user_request_queue.cpp
+++ b/src/service/user_request_queue.cpp
@@ -92,7 +92,7 @@
     controller::Core& core = context_.core;
     if (auto known = core.known(request->id)) {
         // The cached state may be older than what another controller has told the user already.
-        if (request->current || core.state().final(request->id))
+        if (request->current || core.state().outcome(request->id))
             request->answer = known;
         else
             sorted.known.push_back(request);
--- a/src/state/entities.cpp
+++ b/src/state/entities.cpp
@@ -21,7 +21,7 @@
     if (done == spec->taskCount) return GangState::done;
     if (placed + done == spec->taskCount) return GangState::placed;
     if (placed == 0 && done == 0) return GangState::open;
-    return GangState::broken;
+    return GangState::partial;
 }
 
 }  // namespace wellstair::state
--- a/src/state/entities.hpp
+++ b/src/state/entities.hpp
@@ -25,7 +25,7 @@
     std::uint32_t attempt = 0;       // the last one given out
     HostRecord* host = nullptr;      // while placed
     std::uint64_t fencingToken = 0;  // of its host when it was placed
-    std::int64_t atS = 0;            // time of day of the intent
+    std::int64_t placedAtS = 0;      // time of day of the intent
     std::string quotaOwner;          // the member whose share of the team's quota it uses
 };
 
@@ -41,8 +41,8 @@
     std::optional<wire::JobSpec> spec;
     StateMachine<JobState, JobTraits> state{JobState::active};
     std::uint64_t jobRevision = 0, activeRevision = 0;
-    std::uint64_t order = 0;  // revision of the submission
-    std::int64_t atS = 0;     // time of day of the submission
+    std::uint64_t submissionRevision = 0;  // revision of the submission
+    std::int64_t submittedAtS = 0;         // time of day of the submission
     std::string owner;
     std::uint32_t stopAttempt = 0;  // gang: this attempt is being stopped with time for checkpoints
     std::int64_t cancelledAtS = 0;  // time of day, not later than the confirmation to the user
@@ -50,13 +50,13 @@
     std::uint32_t done = 0, placed = 0;
 
     // Whether both of its records have been read.
-    bool known() const { return spec && activeRevision; }
+    bool loaded() const { return spec && activeRevision; }
     std::uint32_t open() const { return spec->taskCount - done - placed; }
     bool gang() const { return spec->kind == wire::JobKind::gang; }
     // Follows from the states of the tasks.
     GangState gang_state() const;
     // Tasks that run all together or not at all; a gang of one is like a batch of one.
-    bool wide_gang() const { return gang() && spec->taskCount > 1; }
+    bool multi_task_gang() const { return gang() && spec->taskCount > 1; }
     bool service() const { return spec->service(); }
     // Whether it is a service that has lost a replica: some open task has run before.
     bool lost_replica() const;
@@ -88,8 +88,8 @@
     placement::ImageCache cache;
 
     bool registered() const { return fencingToken != 0; }
-    bool leaves() const { return leaving != Leaving::no; }
-    bool gone() const { return leaving == Leaving::gone; }
+    bool returning() const { return returnState != ReturnState::none; }
+    bool gone() const { return returnState == ReturnState::gone; }
     // Its record was removed, which is done only after the cloud has confirmed that the machine is gone.
     bool removed() const { return !shard && !registered(); }
 };
@@ -99,25 +99,25 @@
 struct TeamRecord {
     std::uint64_t revision = 0;
     QuotaShares shares;
-    std::map<std::string, Use> used;
-    Use total;  // of `used`
+    std::map<std::string, QuotaAmount> used;
+    QuotaAmount total;  // of `used`
 };
 
 // A controller process that is registered, as long as its lease lasts.
 struct MemberRecord {
     std::uint64_t revision = 0, incarnation = 0;
-    double sinceS = 0;         // time of day at which it was seen to join
+    double joinedAtS = 0;      // time of day at which it was seen to join
     std::uint32_t layout = 0;  // the newest layout that the process can write
 };
 
 // How a job has ended; kept for ever.
-struct Final {
+struct JobOutcome {
     JobState state;
     std::uint64_t revision;
 };
 
 // Amounts are stored and added up in thousandths.
-inline std::int64_t milli(double amount) {
+inline std::int64_t to_thousandths(double amount) {
     return std::llround(amount * 1000);
 }
 
--- a/src/state/keys.hpp
+++ b/src/state/keys.hpp
@@ -13,7 +13,7 @@
 
 inline constexpr const char* kPrefix = "ws/";
 inline constexpr const char* kCloudRole = "ws/roles/cloud";
-inline constexpr const char* kTypes = "ws/types";
+inline constexpr const char* kMachineTypes = "ws/types";
 inline constexpr const char* kLayout = "ws/layout";
 
 std::string member(const std::string& name);
--- a/src/state/quota_shares.cpp
+++ b/src/state/quota_shares.cpp
@@ -17,25 +17,26 @@
 
 }  // namespace
 
-Use quota_limit(const config::Team& team) {
-    return {team.cpusMax > 0 ? milli(team.cpusMax) : kNoLimit, team.gpusMax > 0 ? milli(team.gpusMax) : kNoLimit};
+QuotaAmount quota_limit(const config::Team& team) {
+    return {team.cpusMax > 0 ? to_thousandths(team.cpusMax) : kNoLimit,
+            team.gpusMax > 0 ? to_thousandths(team.gpusMax) : kNoLimit};
 }
 
-bool exceeds(const Use& amount, const Use& limit) {
+bool exceeds(const QuotaAmount& amount, const QuotaAmount& limit) {
     return amount.cores > limit.cores || amount.gpus > limit.gpus;
 }
 
-Use used_by(const TeamRecord& team, const std::string& member) {
+QuotaAmount used_by(const TeamRecord& team, const std::string& member) {
     auto it = team.used.find(member);
-    return it == team.used.end() ? Use{} : it->second;
+    return it == team.used.end() ? QuotaAmount{} : it->second;
 }
 
 bool grow_share(QuotaShares& shares, const QuotaNeed& need, const config::Settings& settings) {
-    Use assigned;
+    QuotaAmount assigned;
     for (const auto& [name, share] : shares) assigned += share;
-    const Use unassigned = need.limit - assigned;
+    const QuotaAmount unassigned = need.limit - assigned;
     const std::int64_t members = settings.size();
-    Use grown = shares[need.member];
+    QuotaAmount grown = shares[need.member];
     if (!grow(grown.cores, need.needed.cores, unassigned.cores, members)) return false;
     if (!grow(grown.gpus, need.needed.gpus, unassigned.gpus, members)) return false;
     shares[need.member] = grown;
@@ -44,8 +45,8 @@
 
 QuotaShares redistribute_shares(const TeamRecord& team, const QuotaNeed& need, const config::Settings& settings) {
     const std::int64_t members = settings.size();
-    const Use unused = need.limit - need.total;
-    const Use equalPart{unused.cores / members, unused.gpus / members};
+    const QuotaAmount unused = need.limit - need.total;
+    const QuotaAmount equalPart{unused.cores / members, unused.gpus / members};
     QuotaShares shares;
     for (const auto& [name, used] : team.used)
         if (used.cores > 0 || used.gpus > 0) shares[name] = used;
--- a/src/state/quota_shares.hpp
+++ b/src/state/quota_shares.hpp
@@ -13,15 +13,15 @@
 // What a controller that places tasks needs of a team's quota, in thousandths.
 struct QuotaNeed {
     const std::string& member;
-    Use needed;  // by this controller, with what it is about to place
-    Use total;   // by all controllers, with what it is about to place
-    Use limit;   // of the team
+    QuotaAmount needed;  // by this controller, with what it is about to place
+    QuotaAmount total;   // by all controllers, with what it is about to place
+    QuotaAmount limit;   // of the team
 };
 
 // The team's limit; a very large amount where the settings have none.
-Use quota_limit(const config::Team& team);
-bool exceeds(const Use& amount, const Use& limit);
-Use used_by(const TeamRecord& team, const std::string& member);
+QuotaAmount quota_limit(const config::Team& team);
+bool exceeds(const QuotaAmount& amount, const QuotaAmount& limit);
+QuotaAmount used_by(const TeamRecord& team, const std::string& member);
 
 // Adds what is lacking, and an equal part of the rest, from what is assigned to nobody. False, changing nothing, if
 // that does not suffice.
--- a/src/state/records.cpp
+++ b/src/state/records.cpp
@@ -93,9 +93,9 @@
         int leader = h.leader.empty() ? -1 : place_in(leaders, Json::array({h.leader, h.incarnation}));
         Json e = Json::array(
             {h.name, leader, h.fencingToken, h.address, place_in(machineTypes, h.machineType), h.spot ? 1 : 0});
-        if (h.leaving != Leaving::no) {
-            e.push_back(static_cast<int>(h.leaving));
-            e.push_back(h.leavingAtS);
+        if (h.returnState != ReturnState::none) {
+            e.push_back(static_cast<int>(h.returnState));
+            e.push_back(h.returnStateAtS);
         }
         list.push_back(std::move(e));
     }
@@ -124,8 +124,8 @@
         h.machineType = machineTypes.at(e[4].get<std::size_t>());
         h.spot = e[5].get<int>() != 0;
         if (e.size() > 6) {
-            h.leaving = static_cast<Leaving>(e[6].get<int>());
-            h.leavingAtS = e[7].get<std::int64_t>();
+            h.returnState = static_cast<ReturnState>(e[6].get<int>());
+            h.returnStateAtS = e[7].get<std::int64_t>();
         }
         hosts.push_back(std::move(h));
     }
@@ -140,7 +140,8 @@
     constexpr std::size_t kBracketsAndCommas = 7, kSpot = 1, kLeavingAndCommas = 3;
     std::size_t size = kBracketsAndCommas + kSpot;
     size += quoted_size(host.name) + quoted_size(host.address) + digits(host.fencingToken);
-    if (host.leaving != Leaving::no) size += kLeavingAndCommas + digits(static_cast<std::uint64_t>(host.leavingAtS));
+    if (host.returnState != ReturnState::none)
+        size += kLeavingAndCommas + digits(static_cast<std::uint64_t>(host.returnStateAtS));
     return size;
 }
 
@@ -178,7 +179,7 @@
 std::size_t ChunkRecord::Entry::size_bound() const {
     constexpr std::size_t kBracketsAndCommas = 8;
     return kBracketsAndCommas + digits(index) + digits(attempt) + quoted_size(host) + digits(fencingToken) +
-           digits(static_cast<std::uint64_t>(atS)) + quoted_size(quotaOwner);
+           digits(static_cast<std::uint64_t>(placedAtS)) + quoted_size(quotaOwner);
 }
 
 std::size_t ChunkRecord::size_bound() const {
@@ -196,7 +197,7 @@
         if (e.host.empty())
             list.push_back({e.index, e.attempt, ""});
         else
-            list.push_back({e.index, e.attempt, e.host, e.fencingToken, e.atS, e.quotaOwner});
+            list.push_back({e.index, e.attempt, e.host, e.fencingToken, e.placedAtS, e.quotaOwner});
     }
     return {{"d", std::move(doneRanges)}, {"e", std::move(list)}};
 }
@@ -215,7 +216,7 @@
         entry.host = e[2].get<std::string>();
         if (!entry.host.empty()) {
             entry.fencingToken = e[3].get<std::uint64_t>();
-            entry.atS = e[4].get<std::int64_t>();
+            entry.placedAtS = e[4].get<std::int64_t>();
             entry.quotaOwner = e[5].get<std::string>();
         }
         record.entries.push_back(std::move(entry));
--- a/src/state/records.hpp
+++ b/src/state/records.hpp
@@ -51,25 +51,25 @@
 };
 
 // An amount of a team's quota.
-struct Use {
+struct QuotaAmount {
     std::int64_t cores = 0, gpus = 0;  // in thousandths
-    Use& operator+=(const Use& o) { return cores += o.cores, gpus += o.gpus, *this; }
-    bool operator==(const Use&) const = default;
+    QuotaAmount& operator+=(const QuotaAmount& o) { return cores += o.cores, gpus += o.gpus, *this; }
+    bool operator==(const QuotaAmount&) const = default;
 };
-inline Use operator+(Use a, const Use& b) {
+inline QuotaAmount operator+(QuotaAmount a, const QuotaAmount& b) {
     return a += b;
 }
-inline Use operator-(const Use& a, const Use& b) {
+inline QuotaAmount operator-(const QuotaAmount& a, const QuotaAmount& b) {
     return {a.cores - b.cores, a.gpus - b.gpus};
 }
 
 // `teams/NAME`: each controller's share of the team's quota, by controller.
-using QuotaShares = std::map<std::string, Use>;
+using QuotaShares = std::map<std::string, QuotaAmount>;
 Json encode_quota_shares(const QuotaShares& shares);
 QuotaShares decode_quota_shares(const Json& data);
 
 // Whether a host is being returned to the cloud: marked for it, or confirmed by the cloud. The numbers are stored.
-enum class Leaving : std::uint8_t { no, marked, gone };
+enum class ReturnState : std::uint8_t { none, marked, gone };
 
 // One host of a shard.
 struct HostEntry {
@@ -77,8 +77,8 @@
     std::uint64_t incarnation = 0;
     std::uint64_t fencingToken = 0;  // 0: never registered
     bool spot = false;
-    Leaving leaving = Leaving::no;
-    std::int64_t leavingAtS = 0;
+    ReturnState returnState = ReturnState::none;
+    std::int64_t returnStateAtS = 0;
     bool operator==(const HostEntry&) const = default;
 };
 
@@ -105,7 +105,7 @@
         std::uint32_t index = 0, attempt = 0;
         std::string host;  // none: the task is open
         std::uint64_t fencingToken = 0;
-        std::int64_t atS = 0;
+        std::int64_t placedAtS = 0;
         std::string quotaOwner;
 
         // At least its size as JSON, with the comma behind it.
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -8,16 +8,16 @@
 
 const Job* StateCache::job(const std::string& id) const {
     auto it = jobs_.find(id);
-    return it != jobs_.end() && it->second->known() ? it->second.get() : nullptr;
+    return it != jobs_.end() && it->second->loaded() ? it->second.get() : nullptr;
 }
 
 Job* StateCache::job(const std::string& id) {
     return const_cast<Job*>(std::as_const(*this).job(id));
 }
 
-const Final* StateCache::final(const std::string& id) const {
-    auto it = finals_.find(id);
-    return it == finals_.end() ? nullptr : &it->second;
+const JobOutcome* StateCache::outcome(const std::string& id) const {
+    auto it = outcomes_.find(id);
+    return it == outcomes_.end() ? nullptr : &it->second;
 }
 
 const HostRecord* StateCache::host(const std::string& name) const {
@@ -29,14 +29,14 @@
     return const_cast<HostRecord*>(std::as_const(*this).host(name));
 }
 
-const wire::MachineType* StateCache::type(const std::string& typeName) const {
-    auto it = types_.find(typeName);
-    return it == types_.end() ? nullptr : &it->second;
+const wire::MachineType* StateCache::machine_type(const std::string& typeName) const {
+    auto it = machineTypes_.find(typeName);
+    return it == machineTypes_.end() ? nullptr : &it->second;
 }
 
 double StateCache::fetch_rate(const std::string& typeName) const {
     constexpr double kUnknownFetchGbPerS = 0.1;  // DESIGN: 100 MB per second until known better
-    const auto* machineType = type(typeName);
+    const auto* machineType = machine_type(typeName);
     return machineType && machineType->fetchGbPerS > 0 ? machineType->fetchGbPerS : kUnknownFetchGbPerS;
 }
 
@@ -82,7 +82,7 @@
     return *slot;
 }
 
-std::uint32_t StateCache::next_split(const HostShard& shard) const {
+std::uint32_t StateCache::next_split_part(const HostShard& shard) const {
     const std::string parts = keys::unsplit_shard_key(shard.key) + ".";
     std::uint32_t highest = 0;
     for (auto it = shards_.lower_bound(parts); it != shards_.end() && it->first.starts_with(parts); ++it)
@@ -135,22 +135,22 @@
 
 void StateCache::change_host(HostRecord& host, const HostEntry& next, HostShard& shard, double wallS) {
     bool fresh = host.fencingToken != next.fencingToken || host.incarnation != next.incarnation;
-    bool leaving = host.leaving != next.leaving;
+    bool leaving = host.returnState != next.returnState;
     static_cast<HostEntry&>(host) = next;
     host.shard = &shard;
     host.zone = shard.zone;
     if (fresh) {
         host.registeredS = wallS;
-        if (const auto* t = type(host.machineType)) host.cache.set_capacity(t->cacheGb);
+        if (const auto* t = machine_type(host.machineType)) host.cache.set_capacity(t->cacheGb);
         if (onRegistered) onRegistered(host);
     }
-    if (leaving && onLeaving) onLeaving(host);
+    if (leaving && onReturnStateChange) onReturnStateChange(host);
 }
 
 void StateCache::apply(const std::string& path, const Json* data, std::uint64_t revision, double wallS) {
     if (path == keys::kCloudRole) return apply_cloud_role(data, revision);
     if (path == keys::kLayout) return apply_layout(data, revision);
-    if (path == keys::kTypes) return apply_types(data, revision);
+    if (path == keys::kMachineTypes) return apply_machine_types(data, revision);
 
     std::string_view below(path);
     if (!below.starts_with(keys::kPrefix)) return;
@@ -185,8 +185,8 @@
     if (data) {
         const MemberData member = MemberData::decode(*data);
         const bool sameProcess = it != members_.end() && it->second.incarnation == member.incarnation;
-        const double sinceS = sameProcess ? it->second.sinceS : wallS;
-        members_[name] = {revision, member.incarnation, sinceS, member.layout};
+        const double joinedAtS = sameProcess ? it->second.joinedAtS : wallS;
+        members_[name] = {revision, member.incarnation, joinedAtS, member.layout};
     } else if (it != members_.end()) {
         members_.erase(it);
     }
@@ -195,7 +195,7 @@
 void StateCache::apply_cloud_role(const Json* data, std::uint64_t revision) {
     if (revision <= cloudRoleRevision_) return;
     cloudRoleRevision_ = data ? revision : 0;
-    cloudRole_ = data ? data->value("by", "") : "";
+    cloudRoleHolder_ = data ? data->value("by", "") : "";
     cloudRoleIncarnation_ = data ? data->value("inc", std::uint64_t{0}) : 0;
 }
 
@@ -205,23 +205,23 @@
     layout_ = LayoutRecord::decode(*data);
 }
 
-void StateCache::apply_types(const Json* data, std::uint64_t revision) {
-    if (!data || revision <= typesRevision_) return;
-    typesRevision_ = revision;
-    types_.clear();
+void StateCache::apply_machine_types(const Json* data, std::uint64_t revision) {
+    if (!data || revision <= machineTypesRevision_) return;
+    machineTypesRevision_ = revision;
+    machineTypes_.clear();
     if (const Json* list = wire::list(*data, "builds"))
         for (const Json& entry : *list)
-            if (auto machineType = wire::parse_type(entry)) types_[machineType->typeName] = *machineType;
+            if (auto machineType = wire::parse_type(entry)) machineTypes_[machineType->typeName] = *machineType;
     for (auto& [name, host] : hosts_)
-        if (const auto* machineType = type(host->machineType)) host->cache.set_capacity(machineType->cacheGb);
+        if (const auto* machineType = machine_type(host->machineType)) host->cache.set_capacity(machineType->cacheGb);
 }
 
 void StateCache::apply_job(const std::string& id, const Json* data, std::uint64_t revision) {
     if (!data) return;  // jobs are kept for ever
-    if (auto f = finals_.find(id); f != finals_.end() && revision <= f->second.revision) return;
+    if (auto f = outcomes_.find(id); f != outcomes_.end() && revision <= f->second.revision) return;
     if (auto phase = wire::text(*data, "f")) {
-        finals_[id] = {*phase == "done" ? JobState::done : JobState::aborted, revision};
-        if (auto it = jobs_.find(id); it != jobs_.end()) it->second->state.become(finals_[id].state);
+        outcomes_[id] = {*phase == "done" ? JobState::done : JobState::aborted, revision};
+        if (auto it = jobs_.find(id); it != jobs_.end()) it->second->state.transition_to(outcomes_[id].state);
         drop_if_over(id);
         return;
     }
@@ -236,9 +236,9 @@
     if (!spec) return;
     job.spec = std::move(*spec);
     job.chunks.resize((job.spec->taskCount + chunkSize_ - 1) / chunkSize_);
-    job.order = revision;
-    job.atS = data->value("at", std::int64_t{0});
-    if (job.known()) enqueue(job);
+    job.submissionRevision = revision;
+    job.submittedAtS = data->value("at", std::int64_t{0});
+    if (job.loaded()) enqueue(job);
 }
 
 void StateCache::apply_active(const std::string& id, const Json* data, std::uint64_t revision) {
@@ -246,7 +246,7 @@
         drop_if_over(id);
         return;
     }
-    if (auto f = finals_.find(id); f != finals_.end() && f->second.revision >= revision) return;
+    if (auto f = outcomes_.find(id); f != outcomes_.end() && f->second.revision >= revision) return;
     Job& job = job_entry(id);
     if (revision <= job.activeRevision) return;
     bool fresh = !job.activeRevision;
@@ -255,7 +255,7 @@
     job.owner = record.owner;
     job.stopAttempt = record.stopAttempt.value_or(0);
     if (record.cancelled) {
-        job.state.become(JobState::cancelled);
+        job.state.transition_to(JobState::cancelled);
         job.cancelledAtS = record.cancelledAtS;
     }
     if (fresh && job.spec) enqueue(job);
@@ -264,14 +264,14 @@
 
 // Jobs of one transaction share a revision: the low bits keep their keys apart, and none may push another out.
 void StateCache::enqueue(Job& job) {
-    std::uint64_t key = job.order * 1024 + (std::hash<std::string>{}(job.id) & 1023);
+    std::uint64_t key = job.submissionRevision * 1024 + (std::hash<std::string>{}(job.id) & 1023);
     while (queue_.count(key)) ++key;
     queue_[key] = &job;
 }
 
 void StateCache::drop_if_over(const std::string& id) {
     auto it = jobs_.find(id);
-    if (it == jobs_.end() || !finals_.count(id)) return;
+    if (it == jobs_.end() || !outcomes_.count(id)) return;
     Job& job = *it->second;
     for (std::uint32_t number = 0; number < job.chunks.size(); ++number) {
         Chunk& chunk = job.chunks[number];
--- a/src/state/state_cache.hpp
+++ b/src/state/state_cache.hpp
@@ -40,19 +40,19 @@
     Job* job(const std::string& id);
     const Job* job(const std::string& id) const;
     // How a job has ended; nothing if it has not, or is not known.
-    const Final* final(const std::string& id) const;
+    const JobOutcome* outcome(const std::string& id) const;
     // Nothing if neither a shard nor a placed task names the host.
     HostRecord* host(const std::string& name);
     const HostRecord* host(const std::string& name) const;
     const std::map<std::string, std::unique_ptr<HostShard>>& shards() const { return shards_; }
     // The number for the next shard to be split off this one: higher than all there are.
-    std::uint32_t next_split(const HostShard& shard) const;
+    std::uint32_t next_split_part(const HostShard& shard) const;
     // The shard with this key, created in the cache if it is new; nothing is written by that.
     HostShard& shard_entry(const std::string& key);
     // The shard that a new host is registered in, created in the cache if it is new.
     HostShard& shard_of(const std::string& host, const std::string& zone);
     // Nothing if the cloud does not offer the type, or its types are not known yet.
-    const wire::MachineType* type(const std::string& typeName) const;
+    const wire::MachineType* machine_type(const std::string& typeName) const;
     // GB per second at which machines of this type fetch images; a low default if the type is not known.
     double fetch_rate(const std::string& typeName) const;
 
@@ -63,9 +63,9 @@
     const std::map<std::string, TeamRecord>& teams() const { return teams_; }
     // Counts the placements of a controller: each transaction that places tasks changes it.
     std::uint64_t placer_revision(const std::string& member) const;
-    const std::map<std::string, wire::MachineType>& types() const { return types_; }
-    std::uint64_t types_revision() const { return typesRevision_; }
-    const std::string& cloud_role() const { return cloudRole_; }
+    const std::map<std::string, wire::MachineType>& machine_types() const { return machineTypes_; }
+    std::uint64_t machine_types_revision() const { return machineTypesRevision_; }
+    const std::string& cloud_role_holder() const { return cloudRoleHolder_; }
     std::uint64_t cloud_role_incarnation() const { return cloudRoleIncarnation_; }
     std::uint64_t cloud_role_revision() const { return cloudRoleRevision_; }
     const LayoutRecord& layout() const { return layout_; }
@@ -82,7 +82,7 @@
     // Called when a host is registered anew: what was observed under the last fencing token proves nothing any more.
     std::function<void(HostRecord&)> onRegistered;
     // Called when a host is marked for return, or is gone.
-    std::function<void(HostRecord&)> onLeaving;
+    std::function<void(HostRecord&)> onReturnStateChange;
     // Called when the record of a host was removed: it is gone for good.
     std::function<void(HostRecord&)> onRemoved;
     // Called when a job is cancelled, or its attempt is to stop.
@@ -101,7 +101,7 @@
     void apply_member(const std::string& name, const Json* data, std::uint64_t revision, double wallS);
     void apply_cloud_role(const Json* data, std::uint64_t revision);
     void apply_layout(const Json* data, std::uint64_t revision);
-    void apply_types(const Json* data, std::uint64_t revision);
+    void apply_machine_types(const Json* data, std::uint64_t revision);
     void set_tasks(Job& job, std::uint32_t chunk, std::vector<Task> tasks, double wallS);
     void change_task(Job& job, std::uint32_t index, Task& task, const Task& next, double wallS);
     void apply_shard(const std::string& key, const std::string& rest, const Json* data, std::uint64_t revision,
@@ -114,16 +114,16 @@
     std::uint32_t chunkSize_, shardWidth_;
     std::uint64_t revision_ = 0;
     std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
-    std::unordered_map<std::string, Final> finals_;
+    std::unordered_map<std::string, JobOutcome> outcomes_;
     std::map<std::uint64_t, Job*> queue_;
     std::unordered_map<std::string, std::unique_ptr<HostRecord>> hosts_;
     std::map<std::string, std::unique_ptr<HostShard>> shards_;
     std::map<std::string, std::uint64_t> placers_;
     std::map<std::string, MemberRecord> members_;
     std::map<std::string, TeamRecord> teams_;
-    std::map<std::string, wire::MachineType> types_;
-    std::uint64_t typesRevision_ = 0;
-    std::string cloudRole_;
+    std::map<std::string, wire::MachineType> machineTypes_;
+    std::uint64_t machineTypesRevision_ = 0;
+    std::string cloudRoleHolder_;
     std::uint64_t cloudRoleRevision_ = 0, cloudRoleIncarnation_ = 0;
     std::map<std::string, std::uint64_t> orphanedChunks_;
     LayoutRecord layout_;
--- a/src/state/state_cache_tasks.cpp
+++ b/src/state/state_cache_tasks.cpp
@@ -14,7 +14,7 @@
     std::uint32_t c = 0;
     std::from_chars(rest.data() + slash + 1, rest.data() + rest.size(), c);
     auto it = jobs_.find(id);
-    if (it == jobs_.end() || finals_.count(id)) {
+    if (it == jobs_.end() || outcomes_.count(id)) {
         if (data)
             orphanedChunks_[path] = std::max(orphanedChunks_[path], revision);
         else
@@ -30,16 +30,16 @@
     std::vector<Task> tasks(n);
     const ChunkRecord record = data ? ChunkRecord::decode(*data) : ChunkRecord{};
     for (const auto& [first, last] : record.done)
-        for (std::uint32_t i = first; i <= last && i < n; ++i) tasks[i].state.become(TaskState::done);
+        for (std::uint32_t i = first; i <= last && i < n; ++i) tasks[i].state.transition_to(TaskState::done);
     for (const ChunkRecord::Entry& e : record.entries) {
         if (e.index >= n) continue;
         Task& s = tasks[e.index];
         s.attempt = e.attempt;
         if (e.host.empty()) continue;
-        s.state.become(TaskState::placed);
+        s.state.transition_to(TaskState::placed);
         s.host = &host_entry(e.host);
         s.fencingToken = e.fencingToken;
-        s.atS = e.atS;
+        s.placedAtS = e.placedAtS;
         s.quotaOwner = e.quotaOwner;
     }
     set_tasks(job, c, std::move(tasks), wallS);
@@ -54,7 +54,7 @@
 
 void StateCache::account_usage(const Job& job, const Task& task, int by) {
     TeamRecord& team = teams_[job.spec->team];
-    Use use{by * milli(job.spec->cores), by * milli(job.spec->gpus)};
+    QuotaAmount use{by * to_thousandths(job.spec->cores), by * to_thousandths(job.spec->gpus)};
     team.used[task.quotaOwner] += use;
     team.total += use;
 }
@@ -79,13 +79,13 @@
     if (next.host && before.host != next.host) {
         next.host->placed.push_back({&job, index});
         next.host->cache.fetch(job.spec->image, job.spec->imageGb, wallS,
-                               next.atS + job.spec->imageGb / fetch_rate(next.host->machineType));
+                               next.placedAtS + job.spec->imageGb / fetch_rate(next.host->machineType));
     }
-    if (task.state != next.state) task.state.become(next.state);
+    if (task.state != next.state) task.state.transition_to(next.state);
     task.attempt = next.attempt;
     task.host = next.host;
     task.fencingToken = next.fencingToken;
-    task.atS = next.atS;
+    task.placedAtS = next.placedAtS;
     task.quotaOwner = next.quotaOwner;
     count(task, 1);
     if (onTaskChange) onTaskChange(job, index, before, task);
@@ -102,7 +102,7 @@
             record.done.emplace_back(i, last);
             i = last;
         } else if (s.state == TaskState::placed) {
-            record.entries.push_back({i, s.attempt, s.host->name, s.fencingToken, s.atS, s.quotaOwner});
+            record.entries.push_back({i, s.attempt, s.host->name, s.fencingToken, s.placedAtS, s.quotaOwner});
         } else if (s.attempt) {
             record.entries.push_back({i, s.attempt, "", 0, 0, ""});
         }
--- a/src/state/state_machine.hpp
+++ b/src/state/state_machine.hpp
@@ -15,7 +15,7 @@
     operator State() const { return state_; }
 
     // The one place where the state changes. An illegal change is a defect in the caller.
-    bool become(State next) {
+    bool transition_to(State next) {
         if (next == state_) return false;
         if (!Traits::allows(state_, next))
             throw std::logic_error(std::string("no change from ") + Traits::name(state_) + " to " + Traits::name(next));
--- a/src/state/states.hpp
+++ b/src/state/states.hpp
@@ -71,7 +71,7 @@
 };
 
 // A gang's state follows from those of its tasks (Job::gang_state): it is never set.
-enum class GangState { open, placed, broken, done };
+enum class GangState { open, placed, partial, done };
 
 // Whether this process may act as a controller (leadership/availability.hpp).
 enum class Availability {
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -68,7 +68,7 @@
 // Each controller has a share of each team's quota, and its placements are serial (each writes placers/ME). While its
 // own share suffices, no other controller's placements can make this one wrong or fail by it. To get more, the shares
 // are assigned anew, on condition that nobody who loses something has placed anything meanwhile.
-bool TransactionBuilder::reserve_quota(const std::string& teamName, Use more) {
+bool TransactionBuilder::reserve_quota(const std::string& teamName, QuotaAmount more) {
     const config::Team* team = settings_.team(teamName);
     if (!team) return true;
     static const TeamRecord kNone;
@@ -77,13 +77,13 @@
     auto [entry, isNew] = quotaReservations_.try_emplace(teamName);
     QuotaReservation& reservation = entry->second;
     if (isNew) reservation.shares = record.shares;
-    const Use limit = quota_limit(*team);
-    const Use total = record.total + reservation.more + more;
+    const QuotaAmount limit = quota_limit(*team);
+    const QuotaAmount total = record.total + reservation.more + more;
     if (exceeds(total, limit)) {
         if (isNew) quotaReservations_.erase(entry);
         return false;
     }
-    const Use needed = used_by(record, member_) + reservation.more + more;
+    const QuotaAmount needed = used_by(record, member_) + reservation.more + more;
     if (exceeds(needed, reservation.shares[member_])) {
         const QuotaNeed need{member_, needed, total, limit};
         if (!grow_share(reservation.shares, need, settings_)) {
@@ -102,7 +102,7 @@
 void TransactionBuilder::require_no_placements_by_losers(const QuotaShares& before, const QuotaShares& after) {
     for (const auto& [name, share] : before) {
         auto it = after.find(name);
-        const Use next = it == after.end() ? Use{} : it->second;
+        const QuotaAmount next = it == after.end() ? QuotaAmount{} : it->second;
         const bool loses = next.cores < share.cores || next.gpus < share.gpus;
         if (name != member_ && loses) require(keys::placer(name), state_.placer_revision(name));
     }
@@ -199,16 +199,16 @@
     if (!compareShards && !(wideUnderLowLimits && room(cost.writes, cost.conditions, cost.bytes))) return false;
     if (!chunks_have_room(job, tasks, cost.chunks, attempt, atS)) return true;  // waits until others there have ended
     const auto count = static_cast<std::int64_t>(tasks.size());
-    const Use more{count * milli(job.spec->cores), count * milli(job.spec->gpus)};
+    const QuotaAmount more{count * to_thousandths(job.spec->cores), count * to_thousandths(job.spec->gpus)};
     if (!reserve_quota(job.spec->team, more)) return true;  // waits until others of the team have ended
     if (bound_across_chunks(job) && !has(keys::active(job.id))) set_active(job, {job.owner, job.stopAttempt, false, 0});
     for (const auto& [index, host] : tasks) {
         Task& task = edit_chunk(job, state_.chunk_of(index))[index % state_.chunk_size()];
-        task.state.become(TaskState::placed);
+        task.state.transition_to(TaskState::placed);
         task.attempt = attempt;
         task.host = host;
         task.fencingToken = host->fencingToken;
-        task.atS = atS;
+        task.placedAtS = atS;
         task.quotaOwner = member_;
         if (compareShards) require_unchanged(*host->shard);
     }
@@ -231,10 +231,10 @@
     Task& s = edit_chunk(job, c)[index % state_.chunk_size()];
     if (s.host->shard) require_unchanged(*s.host->shard);  // else its record was removed, for good
     summary_.push_back("release " + wire::task_id(job.id, index) + " from " + s.host->name);
-    s.state.become(to);
+    s.state.transition_to(to);
     s.host = nullptr;
     s.fencingToken = 0;
-    s.atS = 0;
+    s.placedAtS = 0;
     s.quotaOwner.clear();
     return true;
 }
--- a/src/state/transaction_builder.hpp
+++ b/src/state/transaction_builder.hpp
@@ -90,7 +90,7 @@
         void erase(const std::string& name);
     };
     struct QuotaReservation {
-        Use more;            // placed by this transaction
+        QuotaAmount more;    // placed by this transaction
         QuotaShares shares;  // as the team's record will be
         bool moved = false;  // `shares` differ from the record
     };
@@ -118,7 +118,7 @@
     PlacementCost placement_cost(Job& job, const Placements& tasks) const;
     // Reserves `more` of the team's quota from this controller's share; if the share does not suffice, from what is
     // assigned to nobody or from the unused shares of the others. False if the team's limit does not allow it.
-    bool reserve_quota(const std::string& teamName, Use more);
+    bool reserve_quota(const std::string& teamName, QuotaAmount more);
     // The transaction fails if a controller whose share shrinks has placed anything that is not seen yet.
     void require_no_placements_by_losers(const QuotaShares& before, const QuotaShares& after);
 
--- a/src/state/transaction_builder_shards.cpp
+++ b/src/state/transaction_builder_shards.cpp
@@ -69,7 +69,7 @@
     int more = static_cast<int>(shards->size()) - 1;
     if (!room(more, more, 0)) return false;
     // The hosts that stay are the first by name; the others move to shards whose keys sort behind this one.
-    std::uint32_t number = state_.next_split(shard);
+    std::uint32_t number = state_.next_split_part(shard);
     shards_[shard.key] = std::move(shards->front());
     for (std::size_t i = 1; i < shards->size(); ++i) {
         std::string key = keys::split_shard_key(shard.key, number);
@@ -147,8 +147,8 @@
         auto entry = edit.hosts.find(host);
         HostEntry next = entry == edit.hosts.end() ? HostEntry{} : entry->second;
         next.name = host;
-        next.leaving = gone ? Leaving::gone : std::max(next.leaving, Leaving::marked);
-        next.leavingAtS = atS;
+        next.returnState = gone ? ReturnState::gone : std::max(next.returnState, ReturnState::marked);
+        next.returnStateAtS = atS;
         edit.set(next);
     });
     if (fits) summary_.push_back((gone ? "returned " : "return (" + reason + ") ") + host);
--- a/src/workers/host_tracker.cpp
+++ b/src/workers/host_tracker.cpp
@@ -55,8 +55,8 @@
     starts.clear();
     stops.clear();
     needFence = false;
-    if (state != state::HostState::acquiring) state.become(state::HostState::acquiring);
-    state.become(state::HostState::led);
+    if (state != state::HostState::acquiring) state.transition_to(state::HostState::acquiring);
+    state.transition_to(state::HostState::led);
 }
 
 }  // namespace wellstair::workers
--- a/tests/golden_bytes_test.cpp
+++ b/tests/golden_bytes_test.cpp
@@ -134,8 +134,8 @@
     kept.name = "n-000001", kept.leader = "a", kept.address = "10.1.0.1:9000", kept.machineType = "c8";
     kept.incarnation = 21, kept.fencingToken = 41, kept.spot = true;
     leaving = kept;
-    leaving.name = "n-000002", leaving.leaving = state::Leaving::marked, leaving.leavingAtS = 1'000'300;
-    fresh.name = "n-000003", fresh.leaving = state::Leaving::gone, fresh.leavingAtS = 5;
+    leaving.name = "n-000002", leaving.returnState = state::ReturnState::marked, leaving.returnStateAtS = 1'000'300;
+    fresh.name = "n-000003", fresh.returnState = state::ReturnState::gone, fresh.returnStateAtS = 5;
     check("range", state::encode_shard({kept, leaving, fresh}));
     check("range-read", state::encode_shard(state::decode_shard(state::encode_shard({kept, leaving, fresh}))));
 
@@ -149,8 +149,8 @@
 TEST_F(GoldenBytes, Keys) {
     namespace keys = state::keys;
     check("keys", keys::member("a") + " " + keys::job("j-1") + " " + keys::active("j-1") + " " + keys::chunk("j-1", 2) +
-                      " " + keys::team("red") + " " + keys::placer("a") + " " + keys::kCloudRole + " " + keys::kTypes +
-                      " " + keys::kLayout + " " + keys::split_shard_key("ws/hosts/a/3", 4) + " " +
+                      " " + keys::team("red") + " " + keys::placer("a") + " " + keys::kCloudRole + " " +
+                      keys::kMachineTypes + " " + keys::kLayout + " " + keys::split_shard_key("ws/hosts/a/3", 4) + " " +
                       state::shard_key("n-000231", "a", 102));
 }
 
--- a/tests/lowered_limits_test.cpp
+++ b/tests/lowered_limits_test.cpp
@@ -27,7 +27,7 @@
     EXPECT_EQ(store.refusedAsMalformed, 1) << "a refusal for size is not repeated";
     EXPECT_EQ(a.state().layout_revision(), 0u) << "the switch still waits for b";
     for (const auto& [name, host] : machines_of(store))
-        if (host.leaving != state::Leaving::gone) {
+        if (host.returnState != state::ReturnState::gone) {
             EXPECT_EQ(host.incarnation, 21u) << name << " was not taken over";
         }
     auto builder = a.core().new_transaction();
@@ -69,7 +69,7 @@
     auto all_taken = [&] {
         const auto machines = machines_of(store);
         return std::all_of(machines.begin(), machines.end(), [](const auto& m) {
-            return m.second.leaving == state::Leaving::gone || m.second.incarnation == 50;
+            return m.second.returnState == state::ReturnState::gone || m.second.incarnation == 50;
         });
     };
     for (int i = 0; i < 20 && !all_taken(); ++i) a.round();
@@ -103,7 +103,7 @@
         PlacedTasks tasks;
         std::set<state::HostShard*> shards;
         for (const auto& [name, host] : a.state().hosts()) {
-            const bool idle = host->shard && !host->leaves() && host->placed.empty();
+            const bool idle = host->shard && !host->returning() && host->placed.empty();
             if (tasks.size() < kTasks && idle && shards.insert(host->shard).second)
                 tasks.emplace_back(static_cast<std::uint32_t>(tasks.size()), host.get());
         }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -151,7 +151,7 @@
     auto finish = core.new_transaction();
     ASSERT_TRUE(finish.finish(*job, state::JobState::done));
     run.commit(finish);
-    ASSERT_TRUE(core.state().final("j-1"));
+    ASSERT_TRUE(core.state().outcome("j-1"));
     EXPECT_EQ(core.state().orphaned_chunks().size(), 4000u);
     run.collect_orphaned_chunks();
     EXPECT_EQ(run.store.revision_of("ws/steps/j-1/0"), 0u);
--- a/tests/service_fixture.hpp
+++ b/tests/service_fixture.hpp
@@ -38,7 +38,7 @@
 
     // Everything that users need, up to the moment at which the controller serves them.
     void start_serving() {
-        store.put(state::keys::kTypes, machine_types());
+        store.put(state::keys::kMachineTypes, machine_types());
         start_reading();
         start(membership.run());
         start(readBarrier.run());
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -52,7 +52,7 @@
     EXPECT_EQ(request(net::verb::get, "/healthz", "").status, 503);
     ASSERT_TRUE(run_until(io, [&] { return store.revision_of(state::keys::member("ctl-a")) != 0; }));
     ASSERT_TRUE(run_until(io, [&] { return store.revision_of(state::keys::kCloudRole) != 0; }));
-    ASSERT_TRUE(run_until(io, [&] { return store.revision_of(state::keys::kTypes) != 0; }));
+    ASSERT_TRUE(run_until(io, [&] { return store.revision_of(state::keys::kMachineTypes) != 0; }));
     ASSERT_TRUE(run_until(io, [&] { return has_sent_to_cloud("GET", "/machines?page=500"); }));
     EXPECT_EQ(request(net::verb::get, "/healthz", "").status, 200);
     const net::Reply unknown = request(net::verb::get, "/v2/runs/j-000999", "");
--- a/tests/service_user_test.cpp
+++ b/tests/service_user_test.cpp
@@ -107,7 +107,7 @@
 }
 
 TEST_F(UserRequests, ASubmissionIs503BeforeTheControllerServes) {
-    store.put(state::keys::kTypes, machine_types());
+    store.put(state::keys::kMachineTypes, machine_types());
     start_reading();
     start(userRequests.run());
     const Response response = submit(job_body());
--- a/tests/shard_split_test.cpp
+++ b/tests/shard_split_test.cpp
@@ -55,7 +55,7 @@
     EXPECT_LE(a.largest_value(), kNextLimits.value_bytes());
     EXPECT_EQ(placed_tasks(a.state()), tasks);
     for (const auto& [name, host] : machines_of(store))
-        if (host.leaving != state::Leaving::gone) {
+        if (host.returnState != state::ReturnState::gone) {
             EXPECT_EQ(host.incarnation, incarnation) << name;
         }
 }
@@ -81,7 +81,7 @@
     ASSERT_TRUE(builder.mark_for_return(hosts[50].name, "a", 1'000'300, false, "test"));
     EXPECT_EQ(setup.commit(builder).substr(0, 2), "ok");
     EXPECT_EQ(machines_of(store).size(), hosts.size());
-    EXPECT_EQ(machines_of(store).at(hosts[50].name).leaving, state::Leaving::marked);
+    EXPECT_EQ(machines_of(store).at(hosts[50].name).returnState, state::ReturnState::marked);
 }
 
 // New machines of a split shard are registered where everybody looks for them first, and never in two places: two
--- a/tests/simulation/failure_report.cpp
+++ b/tests/simulation/failure_report.cpp
@@ -27,8 +27,8 @@
         out += " [" + record->leader + " " + state::HostTraits::name(tracker->state) + " token " +
                std::to_string(record->fencingToken) + " missed answers " + std::to_string(tracker->missedAnswers) +
                " quarantine " + std::to_string(tracker->quarantineUntilS - cluster.nowS) + " leaving " +
-               std::to_string(static_cast<int>(record->leaving)) + " placed " + std::to_string(record->placed.size()) +
-               "]";
+               std::to_string(static_cast<int>(record->returnState)) + " placed " +
+               std::to_string(record->placed.size()) + "]";
     }
     return out;
 }
@@ -61,7 +61,7 @@
         if (!task.host) continue;
         out += " on " + task.host->name + " of " + task.host->leader + "@" + std::to_string(task.host->incarnation) +
                " token " + std::to_string(task.fencingToken) + "/" + std::to_string(task.host->fencingToken) +
-               " leaving " + std::to_string(static_cast<int>(task.host->leaving)) +
+               " leaving " + std::to_string(static_cast<int>(task.host->returnState)) +
                describe_host_trackers(cluster, task.host->name);
     }
     return out;
--- a/tests/upgrade_compatibility_test.cpp
+++ b/tests/upgrade_compatibility_test.cpp
@@ -49,23 +49,23 @@
     load_production_state(store);
     UpgradedController a(store);
     state::StateCache& state = a.state();
-    EXPECT_EQ(state.types().size(), 2u);
+    EXPECT_EQ(state.machine_types().size(), 2u);
     EXPECT_EQ(state.members().at("b").incarnation, 12u);
     EXPECT_EQ(state.members().at("b").layout, 0u);
     EXPECT_EQ(machines_of(store).size(), 400u);
     EXPECT_EQ(state.host("n-000400")->leader, "a");
     EXPECT_EQ(state.host("n-000400")->incarnation, 11u);
     EXPECT_EQ(state.host("n-000400")->fencingToken, 3u);
-    EXPECT_EQ(state.host("n-000007")->leaving, state::Leaving::marked);
+    EXPECT_EQ(state.host("n-000007")->returnState, state::ReturnState::marked);
     EXPECT_TRUE(state.host("n-000008")->gone());
-    EXPECT_EQ(state.final("j-short")->state, state::JobState::done);
+    EXPECT_EQ(state.outcome("j-short")->state, state::JobState::done);
     EXPECT_EQ(state.job("j-batch")->done, 5u);
     EXPECT_EQ(state.job("j-batch")->placed, 25u);
     EXPECT_EQ(state.job("j-cancelled")->state, state::JobState::cancelled);
     EXPECT_EQ(state.job("j-gang")->stopAttempt, 1u);
     EXPECT_EQ(state.teams().at("red").total.cores, 16000);
     EXPECT_EQ(state.teams().at("red").shares.at("a").cores, 208000);
-    EXPECT_EQ(state.cloud_role(), "a");
+    EXPECT_EQ(state.cloud_role_holder(), "a");
     EXPECT_EQ(state.layout_revision(), 0u);
     // Each kind of record is written again as it was read.
     for (const auto& [key, value] : store.keys()) {
--- a/tests/upgrade_switch_test.cpp
+++ b/tests/upgrade_switch_test.cpp
@@ -86,7 +86,7 @@
     next.rounds(80);
     EXPECT_LE(next.largest_value(), kNextLimits.value_bytes());
     for (const auto& [name, host] : machines_of(store))
-        if (host.leaving != state::Leaving::gone) {
+        if (host.returnState != state::ReturnState::gone) {
             EXPECT_EQ(host.incarnation, 62u) << name;
         }
 }
