--- a/src/state/entities.cpp
+++ b/src/state/entities.cpp
@@ -5,15 +5,15 @@
 namespace wellstair::state {
 
 Task Job::task(std::uint32_t index, std::uint32_t chunkSize) const {
-    const Chunk& c = chunks[index / chunkSize];
-    return c.tasks.empty() ? Task{} : c.tasks[index % chunkSize];
+    const Chunk& chunk = chunks[index / chunkSize];
+    return chunk.tasks.empty() ? Task{} : chunk.tasks[index % chunkSize];
 }
 
 bool Job::lost_replica() const {
     if (!service() || open() == 0) return false;
     return std::any_of(chunks.begin(), chunks.end(), [](const Chunk& chunk) {
         return std::any_of(chunk.tasks.begin(), chunk.tasks.end(),
-                           [](const Task& s) { return s.state == TaskState::open && s.attempt > 0; });
+                           [](const Task& task) { return task.state == TaskState::open && task.attempt > 0; });
     });
 }
 
--- a/src/state/entities.hpp
+++ b/src/state/entities.hpp
@@ -1,5 +1,5 @@
-// What the state service holds, as linked objects: jobs with their tasks, hosts with what is placed on them, teams and
-// members. Owned by StateCache and changed by it alone; everybody else reads.
+// In-memory object model of the stored state: jobs and their tasks, hosts and the tasks placed on them, teams and
+// members. StateCache owns these objects and is the only one to modify them; all other code reads.
 #pragma once
 
 #include <cmath>
@@ -19,20 +19,20 @@
 struct HostRecord;
 struct HostShard;
 
-// A task of a job. `placed` from the durable intent to start it until the proof that it is gone.
+// A task of a job. It is `placed` from the moment the intent to start it is stored until its termination is proven.
 struct Task {
     StateMachine<TaskState, TaskTraits> state{TaskState::open};
-    std::uint32_t attempt = 0;       // the last one given out
-    HostRecord* host = nullptr;      // while placed
-    std::uint64_t fencingToken = 0;  // of its host when it was placed
-    std::int64_t placedAtS = 0;      // time of day of the intent
-    std::string quotaOwner;          // the member whose share of the team's quota it uses
+    std::uint32_t attempt = 0;       // number of the latest attempt; 0: none yet
+    HostRecord* host = nullptr;      // set while placed
+    std::uint64_t fencingToken = 0;  // the host's fencing token at placement
+    std::int64_t placedAtS = 0;      // wall-clock time at which the intent was stored
+    std::string quotaOwner;          // the member whose quota share the task is charged to
 };
 
-// Tasks that are stored under one key.
+// A range of a job's tasks that is stored under one key.
 struct Chunk {
-    std::uint64_t revision = 0;  // 0: not written yet, all tasks open
-    std::vector<Task> tasks;     // empty until first written
+    std::uint64_t revision = 0;  // 0: never written, all tasks are open
+    std::vector<Task> tasks;     // empty until the first write
     std::uint32_t done = 0, placed = 0;
 };
 
@@ -41,82 +41,86 @@
     std::optional<wire::JobSpec> spec;
     StateMachine<JobState, JobTraits> state{JobState::active};
     std::uint64_t jobRevision = 0, activeRevision = 0;
-    std::uint64_t submissionRevision = 0;  // revision of the submission
-    std::int64_t submittedAtS = 0;         // time of day of the submission
+    std::uint64_t submissionRevision = 0;  // orders the queue
+    std::int64_t submittedAtS = 0;         // wall-clock time of the submission
     std::string owner;
-    std::uint32_t stopAttempt = 0;  // gang: this attempt is being stopped with time for checkpoints
-    std::int64_t cancelledAtS = 0;  // time of day, not later than the confirmation to the user
+    std::uint32_t stopAttempt = 0;  // gang: the attempt being stopped with a grace period for checkpoints
+    std::int64_t cancelledAtS = 0;  // wall-clock time, at or before the confirmation to the user
     std::vector<Chunk> chunks;
     std::uint32_t done = 0, placed = 0;
 
-    // Whether both of its records have been read.
+    // Whether both the description and the active record have been read.
     bool loaded() const { return spec && activeRevision; }
     std::uint32_t open() const { return spec->taskCount - done - placed; }
     bool gang() const { return spec->kind == wire::JobKind::gang; }
-    // Follows from the states of the tasks.
+    // Derived from the task states.
     GangState gang_state() const;
-    // Tasks that run all together or not at all; a gang of one is like a batch of one.
+    // Whether the tasks must be scheduled all or nothing; a gang of one task is treated like a batch job.
     bool multi_task_gang() const { return gang() && spec->taskCount > 1; }
     bool service() const { return spec->service(); }
-    // Whether it is a service that has lost a replica: some open task has run before.
+    // Whether this is a service with a lost replica, i.e. an open task that has run before.
     bool lost_replica() const;
-    // A copy: chunks that were never written have no tasks to refer to.
+    // Returns a copy because a chunk that was never written holds no tasks to refer to.
     Task task(std::uint32_t index, std::uint32_t chunkSize) const;
 };
 
+// Identifies a task by its job and its index in the job.
 struct TaskRef {
     Job* job;
     std::uint32_t index;
     bool operator==(const TaskRef&) const = default;
 };
 
-// Hosts of one zone that are stored under one key.
+// A group of hosts of one zone that is stored under one key.
 struct HostShard {
     std::string key, zone;
     std::uint64_t revision = 0;
-    std::uint32_t number = 0;  // spreads the shards over the controllers
-    std::uint32_t part = 0;    // 0: where new hosts are registered; others were split off
+    std::uint32_t number = 0;  // used to distribute the shards over the controllers
+    std::uint32_t part = 0;    // 0: the original shard, where new hosts are registered; others were split off it
     std::vector<HostRecord*> hosts;
-    ShardSize size;  // of the value as it is stored
+    ShardSize size;  // of the encoded value
 };
 
+// A host with the state that follows from its shard and its tasks.
 struct HostRecord : HostEntry {
     std::string zone;
-    HostShard* shard = nullptr;  // nothing: known only by tasks that were placed there
-    double registeredS = 0;      // time of day at which the registration was seen
+    HostShard* shard = nullptr;  // null: no shard lists the host, only placed tasks refer to it
+    double registeredS = 0;      // wall-clock time at which the registration was observed
     std::vector<TaskRef> placed;
     placement::ImageCache cache;
 
     bool registered() const { return fencingToken != 0; }
+    // Whether it is being returned to the cloud, or has been.
     bool returning() const { return returnState != ReturnState::none; }
+    // Whether the cloud has confirmed the return.
     bool gone() const { return returnState == ReturnState::gone; }
-    // Its record was removed, which is done only after the cloud has confirmed that the machine is gone.
+    // Whether its record was removed, which happens only after the cloud has confirmed the machine's termination.
     bool removed() const { return !shard && !registered(); }
 };
 
-// A team's quota is divided into shares, one for each controller, so that each can place tasks without asking the
-// others. What is used follows from the placed tasks: each names the controller whose share it uses.
+// A team's quota, divided into one share per controller so that each controller places tasks without coordinating with
+// the others. The usage is derived from the placed tasks, each of which names the controller whose share it uses.
 struct TeamRecord {
     std::uint64_t revision = 0;
     QuotaShares shares;
-    std::map<std::string, QuotaAmount> used;
-    QuotaAmount total;  // of `used`
+    std::map<std::string, QuotaAmount> used;  // by controller
+    QuotaAmount total;                        // of `used`
 };
 
-// A controller process that is registered, as long as its lease lasts.
+// A registered controller process; the record exists as long as its lease.
 struct MemberRecord {
     std::uint64_t revision = 0, incarnation = 0;
-    double joinedAtS = 0;      // time of day at which it was seen to join
-    std::uint32_t layout = 0;  // the newest layout that the process can write
+    double joinedAtS = 0;      // wall-clock time at which its registration was observed
+    std::uint32_t layout = 0;  // newest layout version that the process can write
 };
 
-// How a job has ended; kept for ever.
+// The final state of a job; never deleted.
 struct JobOutcome {
     JobState state;
     std::uint64_t revision;
 };
 
-// Amounts are stored and added up in thousandths.
+// Quota amounts are stored and summed as integer thousandths.
 inline std::int64_t to_thousandths(double amount) {
     return std::llround(amount * 1000);
 }
--- a/src/state/keys.cpp
+++ b/src/state/keys.cpp
@@ -25,7 +25,7 @@
     return "ws/placers/" + member;
 }
 std::string split_shard_key(const std::string& shard, std::uint32_t part) {
-    constexpr std::size_t kDigits = 5;  // so that later parts sort behind earlier ones
+    constexpr std::size_t kDigits = 5;  // zero-padded so that keys sort in the order of the splits
     std::string number = std::to_string(part);
     return unsplit_shard_key(shard) + "." + std::string(kDigits - std::min(kDigits, number.size()), '0') + number;
 }
@@ -36,28 +36,31 @@
 
 namespace {
 
-// The digits at the end of a machine's name, which count up as the cloud creates them; other names are hashed.
-std::uint32_t number_of(const std::string& host) {
+// The number at the end of a host name, which the cloud assigns consecutively. Names without one are hashed.
+std::uint32_t host_number(const std::string& host) {
+    constexpr std::size_t kOverflowDigits = 10;  // a number of that length may exceed 32 bits
+    constexpr std::uint32_t kHashedNumbers = 65536;
     auto last = host.find_last_not_of("0123456789");
     std::size_t first = last == std::string::npos ? 0 : last + 1;
-    std::uint32_t n = 0;
-    if (first < host.size() && host.size() - first < 10) {
-        std::from_chars(host.data() + first, host.data() + host.size(), n);
-        return n;
+    std::uint32_t number = 0;
+    if (first < host.size() && host.size() - first < kOverflowDigits) {
+        std::from_chars(host.data() + first, host.data() + host.size(), number);
+        return number;
     }
-    for (unsigned char c : host) n = n * 31 + c;
-    return n % 65536;
+    for (unsigned char c : host) number = number * 31 + c;
+    return number % kHashedNumbers;
 }
 
-// Consecutive machines are mostly of one type: dealt out over this many ranges, each controller gets some of each. A
-// number with many divisors comes out even for most counts of controllers.
-constexpr std::uint32_t kDeal = 6;
+// Consecutive hosts are mostly of one machine type, so they are interleaved over this many shards to give each
+// controller some of each type. A number with many divisors distributes evenly for most controller counts.
+constexpr std::uint32_t kInterleavedShards = 6;
 
 }  // namespace
 
 std::string shard_key(const std::string& host, const std::string& zone, std::uint32_t width) {
-    std::uint32_t n = number_of(host);
-    return "ws/hosts/" + zone + "/" + std::to_string(n / (width * kDeal) * kDeal + n % kDeal);
+    const std::uint32_t number = host_number(host);
+    const std::uint32_t firstShard = number / (width * kInterleavedShards) * kInterleavedShards;
+    return "ws/hosts/" + zone + "/" + std::to_string(firstShard + number % kInterleavedShards);
 }
 
 }  // namespace wellstair::state
--- a/src/state/quota_shares.cpp
+++ b/src/state/quota_shares.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-constexpr std::int64_t kNoLimit = std::int64_t{1} << 60;
+constexpr std::int64_t kNoLimit = std::int64_t{1} << 60;  // thousandths
 
+// Grows the share of one resource; false, without effect, if the unassigned amount does not cover `needed`.
 bool grow(std::int64_t& share, std::int64_t needed, std::int64_t unassigned, std::int64_t members) {
-    const std::int64_t lacking = std::max<std::int64_t>(0, needed - share);
-    if (lacking > unassigned) return false;
-    share += lacking + (unassigned - lacking) / members;
+    const std::int64_t missing = std::max<std::int64_t>(0, needed - share);
+    if (missing > unassigned) return false;
+    share += missing + (unassigned - missing) / members;
     return true;
 }
 
--- a/src/state/quota_shares.hpp
+++ b/src/state/quota_shares.hpp
@@ -1,6 +1,6 @@
-// How a team's quota is divided among the controllers. Pure functions; the result is stored by TransactionBuilder.
+// Division of a team's quota among the controllers. Pure functions; TransactionBuilder stores the result.
 //
-// The shares never add up to more than the limit, and no controller uses more than its share.
+// Invariants: the shares never add up to more than the team's limit, and no controller uses more than its share.
 #pragma once
 
 #include <string>
@@ -10,23 +10,25 @@
 
 namespace wellstair::state {
 
-// What a controller that places tasks needs of a team's quota, in thousandths.
+// A controller's demand on a team's quota, including the tasks that it is about to place.
 struct QuotaNeed {
     const std::string& member;
-    QuotaAmount needed;  // by this controller, with what it is about to place
-    QuotaAmount total;   // by all controllers, with what it is about to place
+    QuotaAmount needed;  // by this controller
+    QuotaAmount total;   // by all controllers
     QuotaAmount limit;   // of the team
 };
 
-// The team's limit; a very large amount where the settings have none.
+// The team's limit; practically unlimited for a resource without a configured limit.
 QuotaAmount quota_limit(const config::Team& team);
+// Whether `amount` exceeds `limit` in any resource.
 bool exceeds(const QuotaAmount& amount, const QuotaAmount& limit);
+// The part of the team's usage that is charged to the share of `member`.
 QuotaAmount used_by(const TeamRecord& team, const std::string& member);
 
-// Adds what is lacking, and an equal part of the rest, from what is assigned to nobody. False, changing nothing, if
-// that does not suffice.
+// Grows the member's share from the unassigned quota: by the missing amount and an equal part of the remainder. Returns
+// false and leaves the shares unchanged if the unassigned quota does not suffice.
 bool grow_share(QuotaShares& shares, const QuotaNeed& need, const config::Settings& settings);
-// All shares anew: everybody keeps what is in use and gets an equal part of what is not.
+// Recomputes all shares: each controller keeps the quota that it uses and gets an equal part of the unused quota.
 QuotaShares redistribute_shares(const TeamRecord& team, const QuotaNeed& need, const config::Settings& settings);
 
 }  // namespace wellstair::state
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -35,9 +35,9 @@
 }
 
 double StateCache::fetch_rate(const std::string& typeName) const {
-    constexpr double kUnknownFetchGbPerS = 0.1;  // DESIGN: 100 MB per second until known better
+    constexpr double kDefaultFetchGbPerS = 0.1;  // 100 MB/s, assumed until the type's rate is known
     const auto* machineType = machine_type(typeName);
-    return machineType && machineType->fetchGbPerS > 0 ? machineType->fetchGbPerS : kUnknownFetchGbPerS;
+    return machineType && machineType->fetchGbPerS > 0 ? machineType->fetchGbPerS : kDefaultFetchGbPerS;
 }
 
 Job& StateCache::job_entry(const std::string& id) {
@@ -67,25 +67,25 @@
     return shard_entry(shard_key(host, zone, shardWidth_));
 }
 
-// The zone and the number are parts of the key.
+// Parses the zone, the shard number and the part number from the key.
 HostShard& StateCache::shard_entry(const std::string& key) {
     auto& slot = shards_[key];
     if (!slot) {
-        auto first = key.find('/', 3) + 1, last = key.rfind('/');
+        auto zoneBegin = key.find('/', std::string_view(keys::kPrefix).size()) + 1, zoneEnd = key.rfind('/');
         slot = std::make_unique<HostShard>();
         slot->key = key;
-        slot->zone = key.substr(first, last - first);
+        slot->zone = key.substr(zoneBegin, zoneEnd - zoneBegin);
         const char* end = key.data() + key.size();
-        auto [after, error] = std::from_chars(key.data() + last + 1, end, slot->number);
+        auto [after, error] = std::from_chars(key.data() + zoneEnd + 1, end, slot->number);
         if (after != end && *after == '.') std::from_chars(after + 1, end, slot->part);
     }
     return *slot;
 }
 
 std::uint32_t StateCache::next_split_part(const HostShard& shard) const {
-    const std::string parts = keys::unsplit_shard_key(shard.key) + ".";
+    const std::string prefix = keys::unsplit_shard_key(shard.key) + ".";
     std::uint32_t highest = 0;
-    for (auto it = shards_.lower_bound(parts); it != shards_.end() && it->first.starts_with(parts); ++it)
+    for (auto it = shards_.lower_bound(prefix); it != shards_.end() && it->first.starts_with(prefix); ++it)
         if (it->second->revision) highest = std::max(highest, it->second->part);
     return highest + 1;
 }
@@ -112,8 +112,7 @@
             change_host(record, entry, shard, wallS);
         }
     for (HostRecord* host : before) {
-        // Listed by another shard by now: moved there.
-        if (host->shard != &shard) continue;
+        if (host->shard != &shard) continue;  // already moved to another shard
         if (std::find(shard.hosts.begin(), shard.hosts.end(), host) != shard.hosts.end()) continue;
         host->shard = nullptr;
         unlisted_.push_back(host->name);
@@ -125,26 +124,26 @@
     for (const std::string& name : std::exchange(unlisted_, {})) {
         auto it = hosts_.find(name);
         if (it == hosts_.end() || it->second->shard) continue;
-        HostEntry none;
-        none.name = name;
-        static_cast<HostEntry&>(*it->second) = none;
+        HostEntry unregistered;
+        unregistered.name = name;
+        static_cast<HostEntry&>(*it->second) = unregistered;
         if (onRemoved) onRemoved(*it->second);
         drop_host_if_unused(name);
     }
 }
 
 void StateCache::change_host(HostRecord& host, const HostEntry& next, HostShard& shard, double wallS) {
-    bool fresh = host.fencingToken != next.fencingToken || host.incarnation != next.incarnation;
-    bool leaving = host.returnState != next.returnState;
+    bool newRegistration = host.fencingToken != next.fencingToken || host.incarnation != next.incarnation;
+    bool returnStateChanged = host.returnState != next.returnState;
     static_cast<HostEntry&>(host) = next;
     host.shard = &shard;
     host.zone = shard.zone;
-    if (fresh) {
+    if (newRegistration) {
         host.registeredS = wallS;
-        if (const auto* t = machine_type(host.machineType)) host.cache.set_capacity(t->cacheGb);
+        if (const auto* machineType = machine_type(host.machineType)) host.cache.set_capacity(machineType->cacheGb);
         if (onRegistered) onRegistered(host);
     }
-    if (leaving && onReturnStateChange) onReturnStateChange(host);
+    if (returnStateChanged && onReturnStateChange) onReturnStateChange(host);
 }
 
 void StateCache::apply(const std::string& path, const Json* data, std::uint64_t revision, double wallS) {
@@ -152,12 +151,12 @@
     if (path == keys::kLayout) return apply_layout(data, revision);
     if (path == keys::kMachineTypes) return apply_machine_types(data, revision);
 
-    std::string_view below(path);
-    if (!below.starts_with(keys::kPrefix)) return;
-    below.remove_prefix(std::string_view(keys::kPrefix).size());
-    const auto slash = below.find('/');
-    const std::string_view kind = below.substr(0, slash);
-    const std::string name(slash == std::string_view::npos ? "" : below.substr(slash + 1));
+    std::string_view suffix(path);
+    if (!suffix.starts_with(keys::kPrefix)) return;
+    suffix.remove_prefix(std::string_view(keys::kPrefix).size());
+    const auto slash = suffix.find('/');
+    const std::string_view kind = suffix.substr(0, slash);
+    const std::string name(slash == std::string_view::npos ? "" : suffix.substr(slash + 1));
     if (kind == "jobs") return apply_job(name, data, revision);
     if (kind == "active") return apply_active(name, data, revision);
     if (kind == "steps") return apply_chunk(path, name, data, revision, wallS);
@@ -175,8 +174,8 @@
 }
 
 void StateCache::apply_placer(const std::string& member, std::uint64_t revision) {
-    std::uint64_t& known = placers_[member];
-    known = std::max(known, revision);
+    std::uint64_t& latest = placers_[member];
+    latest = std::max(latest, revision);
 }
 
 void StateCache::apply_member(const std::string& name, const Json* data, std::uint64_t revision, double wallS) {
@@ -217,12 +216,12 @@
 }
 
 void StateCache::apply_job(const std::string& id, const Json* data, std::uint64_t revision) {
-    if (!data) return;  // jobs are kept for ever
-    if (auto f = outcomes_.find(id); f != outcomes_.end() && revision <= f->second.revision) return;
+    if (!data) return;  // job records are never removed
+    if (auto ended = outcomes_.find(id); ended != outcomes_.end() && revision <= ended->second.revision) return;
     if (auto phase = wire::text(*data, "f")) {
         outcomes_[id] = {*phase == "done" ? JobState::done : JobState::aborted, revision};
         if (auto it = jobs_.find(id); it != jobs_.end()) it->second->state.transition_to(outcomes_[id].state);
-        drop_if_over(id);
+        drop_if_ended(id);
         return;
     }
     Job& job = job_entry(id);
@@ -243,13 +242,13 @@
 
 void StateCache::apply_active(const std::string& id, const Json* data, std::uint64_t revision) {
     if (!data) {
-        drop_if_over(id);
+        drop_if_ended(id);
         return;
     }
-    if (auto f = outcomes_.find(id); f != outcomes_.end() && f->second.revision >= revision) return;
+    if (auto ended = outcomes_.find(id); ended != outcomes_.end() && ended->second.revision >= revision) return;
     Job& job = job_entry(id);
     if (revision <= job.activeRevision) return;
-    bool fresh = !job.activeRevision;
+    bool firstRead = !job.activeRevision;
     job.activeRevision = revision;
     ActiveRecord record = ActiveRecord::decode(*data);
     job.owner = record.owner;
@@ -258,25 +257,29 @@
         job.state.transition_to(JobState::cancelled);
         job.cancelledAtS = record.cancelledAtS;
     }
-    if (fresh && job.spec) enqueue(job);
+    if (firstRead && job.spec) enqueue(job);
     if (onStop && job.spec && (job.state == JobState::cancelled || job.stopAttempt)) onStop(job);
 }
 
-// Jobs of one transaction share a revision: the low bits keep their keys apart, and none may push another out.
+// Jobs of one transaction share a revision, so the low bits of the key distinguish them; colliding keys are incremented
+// because no job may replace another in the queue.
 void StateCache::enqueue(Job& job) {
-    std::uint64_t key = job.submissionRevision * 1024 + (std::hash<std::string>{}(job.id) & 1023);
+    constexpr std::uint64_t kKeysPerRevision = 1024;
+    std::uint64_t key =
+        job.submissionRevision * kKeysPerRevision + (std::hash<std::string>{}(job.id) & (kKeysPerRevision - 1));
     while (queue_.count(key)) ++key;
     queue_[key] = &job;
 }
 
-void StateCache::drop_if_over(const std::string& id) {
+void StateCache::drop_if_ended(const std::string& id) {
     auto it = jobs_.find(id);
     if (it == jobs_.end() || !outcomes_.count(id)) return;
     Job& job = *it->second;
     for (std::uint32_t number = 0; number < job.chunks.size(); ++number) {
         Chunk& chunk = job.chunks[number];
         if (chunk.revision) orphanedChunks_[keys::chunk(id, number)] = chunk.revision;
-        // Nothing may be placed once a job is over; the index is cleaned all the same: a dangling entry would crash.
+        // No task should be placed when a job ends, but any left are still removed from their hosts: a dangling
+        // reference would crash the process.
         for (std::uint32_t i = 0; i < chunk.tasks.size(); ++i) {
             const Task& task = chunk.tasks[i];
             if (!task.host) continue;
@@ -284,7 +287,7 @@
             account_usage(job, task, -1);
         }
     }
-    std::erase_if(queue_, [&](auto& e) { return e.second == &job; });
+    std::erase_if(queue_, [&](auto& entry) { return entry.second == &job; });
     jobs_.erase(it);
 }
 
--- a/src/state/state_cache.hpp
+++ b/src/state/state_cache.hpp
@@ -1,7 +1,7 @@
-// The cached state of the state service (a watch cache), typed and linked. Built from reads and from the watch alone.
+// Watch cache: a typed, linked copy of the stored state, built only from reads and watch events.
 //
-// Owns all entities. Single-threaded, free of I/O: whoever reads the state service applies what it has read, and is
-// told of changes by callbacks. A cache that lost its place in the watch is replaced by a new one.
+// Owns all entities. Single-threaded and free of I/O: the reader of the state service applies each key that it has read
+// and is notified of changes through callbacks. A cache that has missed watch events is replaced by a new one.
 #pragma once
 
 #include <cstdint>
@@ -22,38 +22,38 @@
 
 class StateCache {
   public:
-    // `chunkSize`: tasks per chunk; `shardWidth`: hosts per shard. Both follow from the size limit of a stored value.
+    // `chunkSize`: tasks per chunk; `shardWidth`: hosts per shard. Both derive from the size limit of a stored value.
     StateCache(std::uint32_t chunkSize, std::uint32_t shardWidth) : chunkSize_(chunkSize), shardWidth_(shardWidth) {}
     StateCache(const StateCache&) = delete;
 
-    // One key as read or watched; `data` null means removed. A revision that is not newer than the cached one is
-    // ignored. `wallS`: time of day in seconds at which it was read.
+    // Applies one key as read or watched; null `data` means that the key was removed. A revision that is not newer than
+    // the cached one is ignored. `wallS`: wall-clock time of the read, in seconds.
     void apply(const std::string& path, const Json* data, std::uint64_t revision, double wallS);
-    // The watch has delivered everything up to this revision.
+    // Notes that the watch has delivered all changes up to this revision.
     void advance(std::uint64_t revision);
     std::uint64_t revision() const { return revision_; }
 
     std::uint32_t chunk_size() const { return chunkSize_; }
     std::uint32_t chunk_of(std::uint32_t index) const { return index / chunkSize_; }
 
-    // An open job; nothing while its description or its active record has not been read, and once it is final.
+    // An open job; null until both its description and its active record have been read, and after it has ended.
     Job* job(const std::string& id);
     const Job* job(const std::string& id) const;
-    // How a job has ended; nothing if it has not, or is not known.
+    // The final state of a job; null if the job is open or unknown.
     const JobOutcome* outcome(const std::string& id) const;
-    // Nothing if neither a shard nor a placed task names the host.
+    // Null if neither a shard nor a placed task refers to the host.
     HostRecord* host(const std::string& name);
     const HostRecord* host(const std::string& name) const;
     const std::map<std::string, std::unique_ptr<HostShard>>& shards() const { return shards_; }
-    // The number for the next shard to be split off this one: higher than all there are.
+    // The part number for the next shard to be split off this one: higher than all existing ones.
     std::uint32_t next_split_part(const HostShard& shard) const;
-    // The shard with this key, created in the cache if it is new; nothing is written by that.
+    // The shard with this key, created in the cache, but not in the state service, if it is new.
     HostShard& shard_entry(const std::string& key);
-    // The shard that a new host is registered in, created in the cache if it is new.
+    // The shard in which a new host is registered, created in the cache if it is new.
     HostShard& shard_of(const std::string& host, const std::string& zone);
-    // Nothing if the cloud does not offer the type, or its types are not known yet.
+    // Null if the cloud does not offer the type or its types have not been read yet.
     const wire::MachineType* machine_type(const std::string& typeName) const;
-    // GB per second at which machines of this type fetch images; a low default if the type is not known.
+    // Image fetch rate of machines of this type in GB per second; a conservative default if it is unknown.
     double fetch_rate(const std::string& typeName) const;
 
     // Open jobs in submission order.
@@ -61,7 +61,7 @@
     const std::unordered_map<std::string, std::unique_ptr<HostRecord>>& hosts() const { return hosts_; }
     const std::map<std::string, MemberRecord>& members() const { return members_; }
     const std::map<std::string, TeamRecord>& teams() const { return teams_; }
-    // Counts the placements of a controller: each transaction that places tasks changes it.
+    // Revision of the controller's placer key, which every transaction that places tasks writes.
     std::uint64_t placer_revision(const std::string& member) const;
     const std::map<std::string, wire::MachineType>& machine_types() const { return machineTypes_; }
     std::uint64_t machine_types_revision() const { return machineTypesRevision_; }
@@ -70,28 +70,28 @@
     std::uint64_t cloud_role_revision() const { return cloudRoleRevision_; }
     const LayoutRecord& layout() const { return layout_; }
     std::uint64_t layout_revision() const { return layoutRevision_; }
-    // Chunks whose job is over, by key with their revisions: to be garbage-collected.
+    // Revisions of the chunks of ended jobs, by key: candidates for garbage collection.
     const std::map<std::string, std::uint64_t>& orphaned_chunks() const { return orphanedChunks_; }
     bool member_live(const std::string& name) const { return members_.count(name) > 0; }
 
-    // The stored form of the tasks of a chunk.
+    // Converts the tasks of a chunk to their stored form.
     static ChunkRecord chunk_record(const std::vector<Task>& tasks);
 
-    // Called for every task that changes.
+    // Called for every changed task.
     std::function<void(Job&, std::uint32_t index, const Task& before, const Task& after)> onTaskChange;
-    // Called when a host is registered anew: what was observed under the last fencing token proves nothing any more.
+    // Called when a host gets a new registration: observations under the previous fencing token are no longer valid.
     std::function<void(HostRecord&)> onRegistered;
-    // Called when a host is marked for return, or is gone.
+    // Called when a host is marked for return or its return is confirmed.
     std::function<void(HostRecord&)> onReturnStateChange;
-    // Called when the record of a host was removed: it is gone for good.
+    // Called when the record of a host was removed, which is final.
     std::function<void(HostRecord&)> onRemoved;
-    // Called when a job is cancelled, or its attempt is to stop.
+    // Called when a job is cancelled or its current attempt is to be stopped.
     std::function<void(Job&)> onStop;
 
   private:
     Job& job_entry(const std::string& id);
     void enqueue(Job& job);
-    void drop_if_over(const std::string& id);
+    void drop_if_ended(const std::string& id);
     void apply_job(const std::string& id, const Json* data, std::uint64_t revision);
     void apply_active(const std::string& id, const Json* data, std::uint64_t revision);
     void apply_chunk(const std::string& path, const std::string& rest, const Json* data, std::uint64_t revision,
@@ -107,7 +107,7 @@
     void apply_shard(const std::string& key, const std::string& rest, const Json* data, std::uint64_t revision,
                      double wallS);
     void change_host(HostRecord& host, const HostEntry& next, HostShard& shard, double wallS);
-    void account_usage(const Job& job, const Task& task, int by);
+    void account_usage(const Job& job, const Task& task, int sign);
     HostRecord& host_entry(const std::string& name);
     void drop_host_if_unused(const std::string& name);
 
@@ -128,8 +128,8 @@
     std::map<std::string, std::uint64_t> orphanedChunks_;
     LayoutRecord layout_;
     std::uint64_t layoutRevision_ = 0;
-    // Hosts that a shard no longer lists. A host that was moved is listed by another key of the same revision: whether
-    // it was removed is known when the revision is complete.
+    // Hosts that their shard no longer lists. Another key of the same revision may list a host that was moved, so
+    // removal is decided only once the revision is complete.
     std::vector<std::string> unlisted_;
 };
 
--- a/src/state/state_cache_tasks.cpp
+++ b/src/state/state_cache_tasks.cpp
@@ -1,4 +1,4 @@
-// The part of the cached state that follows the tasks: chunks, placements, used quota and image caches.
+// The part of StateCache that tracks tasks: chunks, placements, quota usage and image caches.
 #include <charconv>
 #include <utility>
 
@@ -11,8 +11,8 @@
     auto slash = rest.rfind('/');
     if (slash == std::string::npos) return;
     std::string id = rest.substr(0, slash);
-    std::uint32_t c = 0;
-    std::from_chars(rest.data() + slash + 1, rest.data() + rest.size(), c);
+    std::uint32_t chunkIndex = 0;
+    std::from_chars(rest.data() + slash + 1, rest.data() + rest.size(), chunkIndex);
     auto it = jobs_.find(id);
     if (it == jobs_.end() || outcomes_.count(id)) {
         if (data)
@@ -22,41 +22,41 @@
         return;
     }
     Job& job = *it->second;
-    if (!job.spec || c >= job.chunks.size()) return;
-    Chunk& chunk = job.chunks[c];
+    if (!job.spec || chunkIndex >= job.chunks.size()) return;
+    Chunk& chunk = job.chunks[chunkIndex];
     if (revision <= chunk.revision) return;
     chunk.revision = data ? revision : 0;
-    std::uint32_t n = std::min(chunkSize_, job.spec->taskCount - c * chunkSize_);
-    std::vector<Task> tasks(n);
+    std::uint32_t taskCount = std::min(chunkSize_, job.spec->taskCount - chunkIndex * chunkSize_);
+    std::vector<Task> tasks(taskCount);
     const ChunkRecord record = data ? ChunkRecord::decode(*data) : ChunkRecord{};
     for (const auto& [first, last] : record.done)
-        for (std::uint32_t i = first; i <= last && i < n; ++i) tasks[i].state.transition_to(TaskState::done);
-    for (const ChunkRecord::Entry& e : record.entries) {
-        if (e.index >= n) continue;
-        Task& s = tasks[e.index];
-        s.attempt = e.attempt;
-        if (e.host.empty()) continue;
-        s.state.transition_to(TaskState::placed);
-        s.host = &host_entry(e.host);
-        s.fencingToken = e.fencingToken;
-        s.placedAtS = e.placedAtS;
-        s.quotaOwner = e.quotaOwner;
+        for (std::uint32_t i = first; i <= last && i < taskCount; ++i) tasks[i].state.transition_to(TaskState::done);
+    for (const ChunkRecord::Entry& entry : record.entries) {
+        if (entry.index >= taskCount) continue;
+        Task& task = tasks[entry.index];
+        task.attempt = entry.attempt;
+        if (entry.host.empty()) continue;
+        task.state.transition_to(TaskState::placed);
+        task.host = &host_entry(entry.host);
+        task.fencingToken = entry.fencingToken;
+        task.placedAtS = entry.placedAtS;
+        task.quotaOwner = entry.quotaOwner;
     }
-    set_tasks(job, c, std::move(tasks), wallS);
+    set_tasks(job, chunkIndex, std::move(tasks), wallS);
 }
 
-void StateCache::set_tasks(Job& job, std::uint32_t c, std::vector<Task> next, double wallS) {
-    Chunk& chunk = job.chunks[c];
+void StateCache::set_tasks(Job& job, std::uint32_t chunkIndex, std::vector<Task> next, double wallS) {
+    Chunk& chunk = job.chunks[chunkIndex];
     if (chunk.tasks.empty()) chunk.tasks.resize(next.size());
     for (std::uint32_t i = 0; i < next.size(); ++i)
-        change_task(job, c * chunkSize_ + i, chunk.tasks[i], next[i], wallS);
+        change_task(job, chunkIndex * chunkSize_ + i, chunk.tasks[i], next[i], wallS);
 }
 
-void StateCache::account_usage(const Job& job, const Task& task, int by) {
+void StateCache::account_usage(const Job& job, const Task& task, int sign) {
     TeamRecord& team = teams_[job.spec->team];
-    QuotaAmount use{by * to_thousandths(job.spec->cores), by * to_thousandths(job.spec->gpus)};
-    team.used[task.quotaOwner] += use;
-    team.total += use;
+    QuotaAmount amount{sign * to_thousandths(job.spec->cores), sign * to_thousandths(job.spec->gpus)};
+    team.used[task.quotaOwner] += amount;
+    team.total += amount;
 }
 
 void StateCache::change_task(Job& job, std::uint32_t index, Task& task, const Task& next, double wallS) {
@@ -65,11 +65,11 @@
         return;
     Task before = task;
     Chunk& chunk = job.chunks[index / chunkSize_];
-    auto count = [&](const Task& s, int by) {
-        if (s.state == TaskState::done) chunk.done += by, job.done += by;
-        if (s.state != TaskState::placed) return;
-        chunk.placed += by, job.placed += by;
-        account_usage(job, s, by);
+    auto count = [&](const Task& counted, int sign) {
+        if (counted.state == TaskState::done) chunk.done += sign, job.done += sign;
+        if (counted.state != TaskState::placed) return;
+        chunk.placed += sign, job.placed += sign;
+        account_usage(job, counted, sign);
     };
     count(task, -1);
     if (before.host && before.host != next.host) {
@@ -95,16 +95,17 @@
 ChunkRecord StateCache::chunk_record(const std::vector<Task>& tasks) {
     ChunkRecord record;
     for (std::uint32_t i = 0; i < tasks.size(); ++i) {
-        const Task& s = tasks[i];
-        if (s.state == TaskState::done) {
+        const Task& task = tasks[i];
+        if (task.state == TaskState::done) {
             std::uint32_t last = i;
             while (last + 1 < tasks.size() && tasks[last + 1].state == TaskState::done) ++last;
             record.done.emplace_back(i, last);
             i = last;
-        } else if (s.state == TaskState::placed) {
-            record.entries.push_back({i, s.attempt, s.host->name, s.fencingToken, s.placedAtS, s.quotaOwner});
-        } else if (s.attempt) {
-            record.entries.push_back({i, s.attempt, "", 0, 0, ""});
+        } else if (task.state == TaskState::placed) {
+            record.entries.push_back(
+                {i, task.attempt, task.host->name, task.fencingToken, task.placedAtS, task.quotaOwner});
+        } else if (task.attempt) {
+            record.entries.push_back({i, task.attempt, "", 0, 0, ""});
         }
     }
     return record;
--- a/src/state/state_machine.hpp
+++ b/src/state/state_machine.hpp
@@ -1,4 +1,4 @@
-// Explicit state machines: named states, and one function for every change of state.
+// Explicit state machines with named states and checked transitions.
 #pragma once
 
 #include <stdexcept>
@@ -6,7 +6,7 @@
 
 namespace wellstair::state {
 
-// `Traits` names the states (`name`) and says which changes are legal (`allows`).
+// `Traits::name` names the states, `Traits::allows` defines the legal transitions.
 template <class State, class Traits>
 class StateMachine {
   public:
@@ -14,11 +14,13 @@
     State state() const { return state_; }
     operator State() const { return state_; }
 
-    // The one place where the state changes. An illegal change is a defect in the caller.
+    // Changes the state; returns false if it is already `next`. An illegal transition is a programming error and
+    // throws.
     bool transition_to(State next) {
         if (next == state_) return false;
         if (!Traits::allows(state_, next))
-            throw std::logic_error(std::string("no change from ") + Traits::name(state_) + " to " + Traits::name(next));
+            throw std::logic_error(std::string("illegal state transition from ") + Traits::name(state_) + " to " +
+                                   Traits::name(next));
         state_ = next;
         return true;
     }
--- a/src/state/states.hpp
+++ b/src/state/states.hpp
@@ -1,11 +1,11 @@
-// The named states of jobs, tasks, hosts, gangs and members, and their legal changes.
+// The states of jobs, tasks, hosts, gangs and members, and their legal transitions.
 #pragma once
 
 #include "state/state_machine.hpp"
 
 namespace wellstair::state {
 
-// A job as the state service has it. `cancelled` until its last task is gone, then `aborted`.
+// The stored state of a job. A cancelled job becomes `aborted` once its last task is gone.
 enum class JobState { active, cancelled, done, aborted };
 struct JobTraits {
     static const char* name(JobState s) {
@@ -19,12 +19,12 @@
             case JobState::cancelled:
                 return to == JobState::aborted;
             default:
-                return false;  // final for ever
+                return false;  // `done` and `aborted` are final
         }
     }
 };
 
-// A task: `placed` from the durable intent until the proof that it is gone.
+// The state of a task: `placed` from the stored intent to start it until its termination is proven.
 enum class TaskState : unsigned char { open, placed, done };
 struct TaskTraits {
     static const char* name(TaskState s) {
@@ -32,19 +32,19 @@
         return kNames[static_cast<int>(s)];
     }
     static bool allows(TaskState from, TaskState to) {
-        // A watch may fold several changes into one, so every change but one away from done can be seen.
+        // A watch may merge several changes into one, so any transition except one out of `done` can be observed.
         return from != TaskState::done && from != to;
     }
 };
 
-// A host as its leader sees it.
+// The state of a host from the view of its leader.
 enum class HostState {
-    acquiring,  // sends its heartbeats here; the registration is not durable yet
-    led,        // registered here; older commands may still reach it
-    confirmed,  // has confirmed our fencing token: commands under older ones are refused
-    silent,     // no heartbeat for a while; its lease may still run
-    expired,    // its lease has expired by our own count: its tasks are gone
-    released,   // led by another controller, or by none
+    acquiring,  // sends its heartbeats here; the registration is not stored yet
+    led,        // registered here; commands of an earlier leader may still reach it
+    confirmed,  // has confirmed our fencing token and rejects commands with older ones
+    silent,     // heartbeats are overdue; its lease may still be valid
+    expired,    // its lease has expired by our clock, so its tasks have terminated
+    released,   // led by another controller or by none
 };
 struct HostTraits {
     static const char* name(HostState s) {
@@ -70,15 +70,16 @@
     }
 };
 
-// A gang's state follows from those of its tasks (Job::gang_state): it is never set.
+// The state of a gang, derived from the states of its tasks (Job::gang_state). `partial`: some tasks are placed or
+// done, others are open.
 enum class GangState { open, placed, partial, done };
 
 // Whether this process may act as a controller (leadership/availability.hpp).
 enum class Availability {
-    joining,       // has no member lease yet
-    serving,       // its member record exists and the state service answers
-    disconnected,  // the state service answers nobody: an outage
-    isolated,      // the state service answers others, or was read too long ago: it leads no host any more
+    joining,       // holds no member lease yet
+    serving,       // its member record exists and the state service responds
+    disconnected,  // the state service responds to no controller: an outage
+    isolated,      // the state service responds to others, or the last read is too old: it leads no hosts
 };
 struct AvailabilityTraits {
     static const char* name(Availability s) {
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -11,8 +11,15 @@
 
 namespace {
 
-constexpr std::size_t kTaskBytes = 80;     // one entry of a chunk, as JSON
-constexpr std::size_t kActiveBytes = 100;  // the active record of a job, with its key
+// Estimated sizes in the JSON body of a transaction, keys included.
+constexpr std::size_t kTaskBytes = 80;         // an entry of a chunk
+constexpr std::size_t kActiveBytes = 100;      // the active record of a job
+constexpr std::size_t kChunkBytes = 100;       // a chunk without its entries
+constexpr std::size_t kSubmissionBytes = 200;  // a submission without the job description
+constexpr std::size_t kFinishBytes = 400;      // the end of a job
+constexpr std::size_t kRemoveBytes = 100;      // the removal of a key
+constexpr std::size_t kLayoutBytes = 200;      // the layout record
+constexpr std::size_t kPutBytes = 8192;        // any other value
 
 Json submission(const wire::JobSpec& spec, std::int64_t atS) {
     return {{"s", to_json(spec)}, {"at", atS}};
@@ -27,23 +34,23 @@
 }
 
 int TransactionBuilder::writes() const {
-    int moved = 0;
-    for (const auto& [team, reservation] : quotaReservations_) moved += reservation.moved;
-    return static_cast<int>(sets_.size() + removes_.size() + chunks_.size() + shards_.size()) + moved +
+    int changedShares = 0;
+    for (const auto& [team, reservation] : quotaReservations_) changedShares += reservation.sharesChanged;
+    return static_cast<int>(sets_.size() + removes_.size() + chunks_.size() + shards_.size()) + changedShares +
            !quotaReservations_.empty();
 }
 
-bool TransactionBuilder::room(int writes, int conditions, std::size_t bytes) const {
-    // A transaction may hold 64 KiB; two thirds leave room for keys and for what the estimate misses.
-    std::size_t shards = 0;
-    for (const auto& [key, edit] : shards_) shards += edit.size.bytes();
+bool TransactionBuilder::has_room(int writes, int conditions, std::size_t bytes) const {
+    // Two thirds of the 64 KiB that a transaction may hold: the rest covers keys and the error of the estimate.
+    std::size_t shardBytes = 0;
+    for (const auto& [key, edit] : shards_) shardBytes += edit.size.bytes();
     return this->writes() + writes <= rules_.limits.transactionOperations &&
            static_cast<int>(preconditions_.size()) + conditions <= rules_.limits.conditions() &&
-           bytes_ + shards + bytes <= wire::kBodyLimit * 2 / 3;
+           bytes_ + shardBytes + bytes <= wire::kBodyLimit * 2 / 3;
 }
 
-bool TransactionBuilder::has(const std::string& path) const {
-    return std::any_of(sets_.begin(), sets_.end(), [&](const auto& s) { return s.first == path; });
+bool TransactionBuilder::sets_key(const std::string& path) const {
+    return std::any_of(sets_.begin(), sets_.end(), [&](const auto& entry) { return entry.first == path; });
 }
 
 void TransactionBuilder::set(const std::string& path, Json data, std::uint64_t leaseId) {
@@ -51,73 +58,75 @@
     sets_.emplace_back(path, std::move(data));
 }
 
-std::vector<Task>& TransactionBuilder::edit_chunk(Job& job, std::uint32_t c) {
-    auto [it, fresh] = chunks_.try_emplace({&job, c});
-    if (fresh) {
-        const auto& chunk = job.chunks[c];
+std::vector<Task>& TransactionBuilder::edit_chunk(Job& job, std::uint32_t chunkIndex) {
+    auto [it, isNew] = chunks_.try_emplace({&job, chunkIndex});
+    if (isNew) {
+        const auto& chunk = job.chunks[chunkIndex];
         it->second = chunk.tasks;
         if (it->second.empty())
-            it->second.resize(std::min(state_.chunk_size(), job.spec->taskCount - c * state_.chunk_size()));
-        require(keys::chunk(job.id, c), chunk.revision);
+            it->second.resize(std::min(state_.chunk_size(), job.spec->taskCount - chunkIndex * state_.chunk_size()));
+        require(keys::chunk(job.id, chunkIndex), chunk.revision);
         require(keys::active(job.id), job.activeRevision);
-        bytes_ += 100 + kTaskBytes * (chunk.placed + 1);
+        bytes_ += kChunkBytes + kTaskBytes * (chunk.placed + 1);
     }
     return it->second;
 }
 
-// Each controller has a share of each team's quota, and its placements are serial (each writes placers/ME). While its
-// own share suffices, no other controller's placements can make this one wrong or fail by it. To get more, the shares
-// are assigned anew, on condition that nobody who loses something has placed anything meanwhile.
-bool TransactionBuilder::reserve_quota(const std::string& teamName, QuotaAmount more) {
+// Each controller has a share of each team's quota, and its placements are serialized because each writes its placer
+// key. As long as its own share suffices, placements of other controllers can neither invalidate its placements nor
+// conflict with them. To get more quota it redistributes the shares, on condition that no controller whose share
+// shrinks has made a placement in the meantime.
+bool TransactionBuilder::reserve_quota(const std::string& teamName, QuotaAmount amount) {
     const config::Team* team = settings_.team(teamName);
     if (!team) return true;
-    static const TeamRecord kNone;
+    static const TeamRecord kEmptyRecord;
     auto it = state_.teams().find(teamName);
-    const TeamRecord& record = it == state_.teams().end() ? kNone : it->second;
+    const TeamRecord& record = it == state_.teams().end() ? kEmptyRecord : it->second;
     auto [entry, isNew] = quotaReservations_.try_emplace(teamName);
     QuotaReservation& reservation = entry->second;
     if (isNew) reservation.shares = record.shares;
     const QuotaAmount limit = quota_limit(*team);
-    const QuotaAmount total = record.total + reservation.more + more;
+    const QuotaAmount total = record.total + reservation.reserved + amount;
     if (exceeds(total, limit)) {
         if (isNew) quotaReservations_.erase(entry);
         return false;
     }
-    const QuotaAmount needed = used_by(record, member_) + reservation.more + more;
+    const QuotaAmount needed = used_by(record, member_) + reservation.reserved + amount;
     if (exceeds(needed, reservation.shares[member_])) {
         const QuotaNeed need{member_, needed, total, limit};
         if (!grow_share(reservation.shares, need, settings_)) {
             QuotaShares next = redistribute_shares(record, need, settings_);
-            require_no_placements_by_losers(reservation.shares, next);
+            require_no_placements_by_shrinking_shares(reservation.shares, next);
             reservation.shares = std::move(next);
         }
-        reservation.moved = true;
+        reservation.sharesChanged = true;
     }
-    reservation.more += more;
+    reservation.reserved += amount;
     require(keys::team(teamName), record.revision);
     require(keys::placer(member_), state_.placer_revision(member_));
     return true;
 }
 
-void TransactionBuilder::require_no_placements_by_losers(const QuotaShares& before, const QuotaShares& after) {
+void TransactionBuilder::require_no_placements_by_shrinking_shares(const QuotaShares& before,
+                                                                   const QuotaShares& after) {
     for (const auto& [name, share] : before) {
         auto it = after.find(name);
         const QuotaAmount next = it == after.end() ? QuotaAmount{} : it->second;
-        const bool loses = next.cores < share.cores || next.gpus < share.gpus;
-        if (name != member_ && loses) require(keys::placer(name), state_.placer_revision(name));
+        const bool shrinks = next.cores < share.cores || next.gpus < share.gpus;
+        if (name != member_ && shrinks) require(keys::placer(name), state_.placer_revision(name));
     }
 }
 
 std::size_t TransactionBuilder::submission_size(const wire::JobSpec& spec) {
-    constexpr std::int64_t kAnyTimeOfDay = 9'999'999'999;  // as many digits as any that is written
-    return submission(spec, kAnyTimeOfDay).dump().size();
+    constexpr std::int64_t kLongestWallS = 9'999'999'999;  // has at least as many digits as any time that is written
+    return submission(spec, kLongestWallS).dump().size();
 }
 
 bool TransactionBuilder::submit(const wire::JobSpec& spec, const std::string& owner, std::int64_t atS) {
-    if (has(keys::active(spec.id))) return true;
+    if (sets_key(keys::active(spec.id))) return true;
     Json body = submission(spec, atS);
-    std::size_t bytes = body.dump().size() + 200;
-    if (!room(2, 2, bytes)) return false;
+    std::size_t bytes = body.dump().size() + kSubmissionBytes;
+    if (!has_room(2, 2, bytes)) return false;
     bytes_ += bytes;
     require(keys::job(spec.id), 0);
     set(keys::job(spec.id), std::move(body));
@@ -132,8 +141,8 @@
 }
 
 bool TransactionBuilder::cancel(Job& job, std::int64_t atS) {
-    if (has(keys::active(job.id))) return true;
-    if (!room(1, 1, kActiveBytes)) return false;
+    if (sets_key(keys::active(job.id))) return true;
+    if (!has_room(1, 1, kActiveBytes)) return false;
     bytes_ += kActiveBytes;
     set_active(job, {job.owner, std::nullopt, true, atS});
     summary_.push_back("cancel " + job.id);
@@ -141,19 +150,20 @@
 }
 
 bool TransactionBuilder::stop_attempt(Job& job, std::uint32_t attempt) {
-    if (has(keys::active(job.id))) return true;
-    if (!room(1, 1, kActiveBytes)) return false;
+    if (sets_key(keys::active(job.id))) return true;
+    if (!has_room(1, 1, kActiveBytes)) return false;
     bytes_ += kActiveBytes;
     set_active(job, {job.owner, attempt, false, 0});
     summary_.push_back("stop " + job.id);
     return true;
 }
 
-bool TransactionBuilder::bound_across_chunks(const Job& job) {
+bool TransactionBuilder::zone_constraint_spans_chunks(const Job& job) {
     return (job.spec->coLocated || job.spec->spread) && job.chunks.size() > 1;
 }
 
 TransactionBuilder::PlacementCost TransactionBuilder::placement_cost(Job& job, const Placements& tasks) const {
+    constexpr std::size_t kPlacementChunkBytes = 200;  // estimate per chunk, besides the placed tasks
     PlacementCost cost;
     std::set<const HostShard*> shards;
     for (const auto& [index, host] : tasks) {
@@ -162,12 +172,13 @@
     }
     for (std::uint32_t chunk : cost.chunks) cost.writes += !chunks_.count({&job, chunk});
     if (quotaReservations_.empty()) ++cost.writes;
-    // The team's shares may have to be assigned anew, also by a later job of a team that has had room in its share so
-    // far: counted for the team's first job only, transactions of many teams came out too large and none was applied.
+    // Any job of a team may require its shares to be redistributed, even if earlier ones fitted into the present share.
+    // Counting this write only for the team's first job let transactions with many teams exceed the limit, so that none
+    // of them was applied.
     auto reservation = quotaReservations_.find(job.spec->team);
-    if (reservation == quotaReservations_.end() || !reservation->second.moved) ++cost.writes;
-    if (bound_across_chunks(job)) ++cost.writes;
-    cost.bytes = kTaskBytes * tasks.size() + cost.chunks.size() * 200;
+    if (reservation == quotaReservations_.end() || !reservation->second.sharesChanged) ++cost.writes;
+    if (zone_constraint_spans_chunks(job)) ++cost.writes;
+    cost.bytes = kTaskBytes * tasks.size() + cost.chunks.size() * kPlacementChunkBytes;
     cost.conditions = static_cast<int>(cost.chunks.size() + 3) + settings_.size();
     cost.shards = static_cast<int>(shards.size());
     return cost;
@@ -176,32 +187,35 @@
 bool TransactionBuilder::chunks_have_room(Job& job, const Placements& tasks, const std::set<std::uint32_t>& chunks,
                                           std::uint32_t attempt, std::int64_t atS) {
     for (std::uint32_t chunk : chunks) {
-        std::size_t more = 0;
+        std::size_t addedBytes = 0;
         for (const auto& [index, host] : tasks) {
             if (state_.chunk_of(index) != chunk) continue;
             const ChunkRecord::Entry entry{index % state_.chunk_size(), attempt, host->name,
                                            host->fencingToken,          atS,     member_};
-            more += entry.size_bound();
+            addedBytes += entry.size_bound();
         }
-        if (!chunk_has_room(job, chunk, more)) return false;
+        if (!chunk_has_room(job, chunk, addedBytes)) return false;
     }
     return true;
 }
 
-// A wide gang on as many shards has more keys to compare than a transaction may under lower limits. The shards are
-// compared so that fewer placements turn out stale; what makes a stale one harmless is the fencing token that it names:
-// a leader starts nothing under another one, and an absent task of another token, or on a host whose record was
-// removed, is proven to be gone. Earlier versions rely on the comparison, so it stays until none can run.
+// Under the lowered limits, a gang whose tasks are spread over many shards has more keys to compare than a transaction
+// may hold. Comparing the shards only reduces the number of stale placements. A stale placement is harmless because it
+// names the host's fencing token: a leader starts no task under a different token, and a task that is absent and has a
+// different token, or whose host's record was removed, is proven to be terminated. Earlier versions rely on the
+// comparison, so it stays until none of them can run.
 bool TransactionBuilder::place(Job& job, const Placements& tasks, std::uint32_t attempt, std::int64_t atS) {
     const PlacementCost cost = placement_cost(job, tasks);
-    const bool compareShards = room(cost.writes, cost.conditions + cost.shards, cost.bytes);
-    const bool wideUnderLowLimits = rules_.splitShards && tasks.size() > 1;
-    if (!compareShards && !(wideUnderLowLimits && room(cost.writes, cost.conditions, cost.bytes))) return false;
-    if (!chunks_have_room(job, tasks, cost.chunks, attempt, atS)) return true;  // waits until others there have ended
+    const bool compareShards = has_room(cost.writes, cost.conditions + cost.shards, cost.bytes);
+    const bool maySkipComparison = rules_.splitShards && tasks.size() > 1;
+    if (!compareShards && !(maySkipComparison && has_room(cost.writes, cost.conditions, cost.bytes))) return false;
+    if (!chunks_have_room(job, tasks, cost.chunks, attempt, atS))
+        return true;  // retried once other tasks of the chunk end
     const auto count = static_cast<std::int64_t>(tasks.size());
-    const QuotaAmount more{count * to_thousandths(job.spec->cores), count * to_thousandths(job.spec->gpus)};
-    if (!reserve_quota(job.spec->team, more)) return true;  // waits until others of the team have ended
-    if (bound_across_chunks(job) && !has(keys::active(job.id))) set_active(job, {job.owner, job.stopAttempt, false, 0});
+    const QuotaAmount amount{count * to_thousandths(job.spec->cores), count * to_thousandths(job.spec->gpus)};
+    if (!reserve_quota(job.spec->team, amount)) return true;  // retried once other tasks of the team end
+    if (zone_constraint_spans_chunks(job) && !sets_key(keys::active(job.id)))
+        set_active(job, {job.owner, job.stopAttempt, false, 0});
     for (const auto& [index, host] : tasks) {
         Task& task = edit_chunk(job, state_.chunk_of(index))[index % state_.chunk_size()];
         task.state.transition_to(TaskState::placed);
@@ -217,59 +231,61 @@
     return true;
 }
 
-bool TransactionBuilder::chunk_has_room(Job& job, std::uint32_t c, std::size_t more) {
-    if (rules_.rejectedKeys.count(keys::chunk(job.id, c))) return false;
-    auto it = chunks_.find({&job, c});
-    const std::vector<Task>& tasks = it == chunks_.end() ? job.chunks[c].tasks : it->second;
-    return StateCache::chunk_record(tasks).size_bound() + more <= rules_.limits.value_bytes();
+bool TransactionBuilder::chunk_has_room(Job& job, std::uint32_t chunkIndex, std::size_t addedBytes) {
+    if (rules_.rejectedKeys.count(keys::chunk(job.id, chunkIndex))) return false;
+    auto it = chunks_.find({&job, chunkIndex});
+    const std::vector<Task>& tasks = it == chunks_.end() ? job.chunks[chunkIndex].tasks : it->second;
+    return StateCache::chunk_record(tasks).size_bound() + addedBytes <= rules_.limits.value_bytes();
 }
 
 bool TransactionBuilder::release_task(Job& job, std::uint32_t index, TaskState to) {
-    std::uint32_t c = state_.chunk_of(index);
-    if (rules_.rejectedKeys.count(keys::chunk(job.id, c))) return true;
-    if (!room(!chunks_.count({&job, c}), 4, kTaskBytes * (job.chunks[c].placed + 1) + 100)) return false;
-    Task& s = edit_chunk(job, c)[index % state_.chunk_size()];
-    if (s.host->shard) require_unchanged(*s.host->shard);  // else its record was removed, for good
-    summary_.push_back("release " + wire::task_id(job.id, index) + " from " + s.host->name);
-    s.state.transition_to(to);
-    s.host = nullptr;
-    s.fencingToken = 0;
-    s.placedAtS = 0;
-    s.quotaOwner.clear();
+    std::uint32_t chunkIndex = state_.chunk_of(index);
+    if (rules_.rejectedKeys.count(keys::chunk(job.id, chunkIndex))) return true;
+    if (!has_room(!chunks_.count({&job, chunkIndex}), 4,
+                  kTaskBytes * (job.chunks[chunkIndex].placed + 1) + kChunkBytes))
+        return false;
+    Task& task = edit_chunk(job, chunkIndex)[index % state_.chunk_size()];
+    if (task.host->shard) require_unchanged(*task.host->shard);  // a removed record stays removed
+    summary_.push_back("release " + wire::task_id(job.id, index) + " from " + task.host->name);
+    task.state.transition_to(to);
+    task.host = nullptr;
+    task.fencingToken = 0;
+    task.placedAtS = 0;
+    task.quotaOwner.clear();
     return true;
 }
 
 bool TransactionBuilder::finish(Job& job, JobState to) {
     int chunks = 0;
-    for (const auto& c : job.chunks) chunks += c.revision != 0;
+    for (const auto& chunk : job.chunks) chunks += chunk.revision != 0;
     int conditions = 1 + static_cast<int>(job.chunks.size());
-    bool all = room(2 + chunks, conditions, 400);
-    // A job of many chunks leaves them behind for garbage collection: what says that it is over always fits one
-    // transaction.
-    bool never = 2 + chunks > rules_.limits.transactionOperations || conditions >= rules_.limits.conditions();
-    if (!all && !((never || writes() == 0) && room(2, 1, 400))) return false;
+    bool withChunks = has_room(2 + chunks, conditions, kFinishBytes);
+    // A job with more chunks than fit into one transaction leaves them to garbage collection, so that the end of the
+    // job always fits.
+    bool neverFits = 2 + chunks > rules_.limits.transactionOperations || conditions >= rules_.limits.conditions();
+    if (!withChunks && !((neverFits || writes() == 0) && has_room(2, 1, kFinishBytes))) return false;
     require(keys::active(job.id), job.activeRevision);
     set(keys::job(job.id), {{"f", to == JobState::done ? "done" : "aborted"}});
     removes_.insert(keys::active(job.id));
-    if (all)
-        for (std::uint32_t c = 0; c < job.chunks.size(); ++c)
-            if (job.chunks[c].revision) {
-                require(keys::chunk(job.id, c), job.chunks[c].revision);
-                removes_.insert(keys::chunk(job.id, c));
+    if (withChunks)
+        for (std::uint32_t i = 0; i < job.chunks.size(); ++i)
+            if (job.chunks[i].revision) {
+                require(keys::chunk(job.id, i), job.chunks[i].revision);
+                removes_.insert(keys::chunk(job.id, i));
             }
     summary_.push_back(std::string("finish ") + job.id);
     return true;
 }
 
 bool TransactionBuilder::garbage_collect(const std::string& path, std::uint64_t revision) {
-    if (!room(1, 1, 100)) return false;
+    if (!has_room(1, 1, kRemoveBytes)) return false;
     require(path, revision);
     removes_.insert(path);
     return true;
 }
 
 bool TransactionBuilder::switch_layout(const LayoutRecord& layout) {
-    if (!room(1, 1 + static_cast<int>(state_.members().size()), 200)) return false;
+    if (!has_room(1, 1 + static_cast<int>(state_.members().size()), kLayoutBytes)) return false;
     for (const auto& [name, member] : state_.members()) require(keys::member(name), member.revision);
     require(keys::kLayout, state_.layout_revision());
     set(keys::kLayout, layout.encode());
@@ -278,9 +294,9 @@
 }
 
 bool TransactionBuilder::put(const std::string& path, std::uint64_t revision, Json data, std::uint64_t leaseId) {
-    if (has(path)) return true;
-    if (!room(1, 1, 8192)) return false;
-    bytes_ += 8192;
+    if (sets_key(path)) return true;
+    if (!has_room(1, 1, kPutBytes)) return false;
+    bytes_ += kPutBytes;
     require(path, revision);
     set(path, std::move(data), leaseId);
     summary_.push_back("put " + path);
@@ -291,23 +307,23 @@
     Json preconditions = Json::array(), apply = Json::array();
     for (const auto& [path, revision] : preconditions_) preconditions.push_back({{"path", path}, {"stamp", revision}});
     auto add = [&](const std::string& path, Json data) {
-        Json op = {{"set", path}, {"data", std::move(data)}};
-        if (auto it = leaseIds_.find(path); it != leaseIds_.end()) op["hold"] = it->second;
-        apply.push_back(std::move(op));
+        Json operation = {{"set", path}, {"data", std::move(data)}};
+        if (auto it = leaseIds_.find(path); it != leaseIds_.end()) operation["hold"] = it->second;
+        apply.push_back(std::move(operation));
     };
     for (const auto& [path, data] : sets_) add(path, data);
     for (const auto& [key, tasks] : chunks_)
         add(keys::chunk(key.first->id, key.second), StateCache::chunk_record(tasks).encode());
     for (const auto& [key, edit] : shards_) {
         std::vector<HostEntry> hosts;
-        for (const auto& [name, h] : edit.hosts) hosts.push_back(h);
+        for (const auto& [name, host] : edit.hosts) hosts.push_back(host);
         if (hosts.empty())
             apply.push_back({{"remove", key}});
         else
             add(key, encode_shard(hosts));
     }
     for (const auto& [team, reservation] : quotaReservations_)
-        if (reservation.moved) add(keys::team(team), encode_quota_shares(reservation.shares));
+        if (reservation.sharesChanged) add(keys::team(team), encode_quota_shares(reservation.shares));
     if (!quotaReservations_.empty()) add(keys::placer(member_), Json::object());
     for (const std::string& path : removes_) apply.push_back({{"remove", path}});
     Transaction transaction;
--- a/src/state/transaction_builder_shards.cpp
+++ b/src/state/transaction_builder_shards.cpp
@@ -1,4 +1,4 @@
-// The part of a transaction that changes hosts: registrations, returns, and shards that have to be split.
+// The part of TransactionBuilder that changes hosts: registration, return and shard splits.
 #include <algorithm>
 
 #include "state/transaction_builder.hpp"
@@ -7,8 +7,8 @@
 
 namespace {
 
-// How full the shards are after a split: the emptier, the longer until the next split. Fuller ones are tried where the
-// transaction has no room for as many.
+// Maximum fill of the shards after a split, relative to the size limit. Emptier shards delay the next split; the higher
+// fills are tried in turn if the transaction cannot hold the number of shards that a lower one takes.
 constexpr double kSplitFills[] = {0.6, 0.75, 0.9, 0.98};
 
 }  // namespace
@@ -27,14 +27,14 @@
 }
 
 HostShard& TransactionBuilder::shard_for(const std::string& host, HostShard& shard) {
-    auto it = moved_.find(host);
-    return it == moved_.end() ? shard : state_.shard_entry(it->second);
+    auto it = movedHosts_.find(host);
+    return it == movedHosts_.end() ? shard : state_.shard_entry(it->second);
 }
 
 TransactionBuilder::ShardEdit* TransactionBuilder::edit_shard(HostShard& shard) {
     auto it = shards_.find(shard.key);
     if (it != shards_.end()) return &it->second;
-    if (!room(1, 1, shard.size.bytes())) return nullptr;
+    if (!has_room(1, 1, shard.size.bytes())) return nullptr;
     it = shards_.try_emplace(shard.key).first;
     for (const HostRecord* host : shard.hosts) it->second.set(*host);
     require_unchanged(shard);
@@ -42,14 +42,14 @@
 }
 
 std::optional<std::vector<TransactionBuilder::ShardEdit>> TransactionBuilder::pack(const ShardEdit& edit,
-                                                                                   std::size_t most,
+                                                                                   std::size_t maxShards,
                                                                                    double fill) const {
     const auto limit = static_cast<std::size_t>(fill * static_cast<double>(rules_.limits.value_bytes()));
     std::vector<ShardEdit> shards(1);
     for (const auto& [name, host] : edit.hosts) {
         shards.back().set(host);
         if (shards.back().size.bytes() <= limit) continue;
-        if (shards.size() == most || shards.back().hosts.size() == 1) return std::nullopt;
+        if (shards.size() == maxShards || shards.back().hosts.size() == 1) return std::nullopt;
         shards.back().erase(name);
         shards.emplace_back().set(host);
     }
@@ -58,23 +58,23 @@
 
 bool TransactionBuilder::keep_within_limit(HostShard& shard) {
     const ShardEdit& edit = shards_.at(shard.key);
-    if (!rules_.splitShards || edit.size.bytes() <= rules_.limits.value_bytes()) return room(0, 0, 0);
-    const auto most = static_cast<std::size_t>(std::max(0, rules_.limits.transactionOperations - writes())) + 1;
+    if (!rules_.splitShards || edit.size.bytes() <= rules_.limits.value_bytes()) return has_room(0, 0, 0);
+    const auto maxShards = static_cast<std::size_t>(std::max(0, rules_.limits.transactionOperations - writes())) + 1;
     std::optional<std::vector<ShardEdit>> shards;
     for (double fill : kSplitFills) {
-        shards = pack(edit, most, fill);
+        shards = pack(edit, maxShards, fill);
         if (shards) break;
     }
     if (!shards) return false;
-    int more = static_cast<int>(shards->size()) - 1;
-    if (!room(more, more, 0)) return false;
-    // The hosts that stay are the first by name; the others move to shards whose keys sort behind this one.
-    std::uint32_t number = state_.next_split_part(shard);
+    int addedShards = static_cast<int>(shards->size()) - 1;
+    if (!has_room(addedShards, addedShards, 0)) return false;
+    // The first hosts by name stay; the others move to shards whose keys sort after this one.
+    std::uint32_t part = state_.next_split_part(shard);
     shards_[shard.key] = std::move(shards->front());
     for (std::size_t i = 1; i < shards->size(); ++i) {
-        std::string key = keys::split_shard_key(shard.key, number);
-        while (shards_.count(key)) key = keys::split_shard_key(shard.key, ++number);
-        for (const auto& [name, host] : (*shards)[i].hosts) moved_[name] = key;
+        std::string key = keys::split_shard_key(shard.key, part);
+        while (shards_.count(key)) key = keys::split_shard_key(shard.key, ++part);
+        for (const auto& [name, host] : (*shards)[i].hosts) movedHosts_[name] = key;
         require_unchanged(state_.shard_entry(key));
         shards_[key] = std::move((*shards)[i]);
     }
@@ -83,17 +83,17 @@
 }
 
 template <typename Change>
-bool TransactionBuilder::update(HostShard& given, const std::string& host, Change change) {
-    HostShard& shard = shard_for(host, given);
+bool TransactionBuilder::update(HostShard& listed, const std::string& host, Change change) {
+    HostShard& shard = shard_for(host, listed);
     if (rules_.rejectedKeys.count(shard.key)) return true;
-    const bool fresh = !shards_.count(shard.key), compared = preconditions_.count(shard.key) > 0;
+    const bool newEdit = !shards_.count(shard.key), compared = preconditions_.count(shard.key) > 0;
     ShardEdit* edit = edit_shard(shard);
     if (!edit) return false;
     std::optional<HostEntry> before;
     if (auto it = edit->hosts.find(host); it != edit->hosts.end()) before = it->second;
     change(*edit);
     if (keep_within_limit(shard)) return true;
-    if (fresh) {
+    if (newEdit) {
         shards_.erase(shard.key);
         if (!compared) preconditions_.erase(shard.key);
     } else if (before) {
@@ -104,13 +104,13 @@
     return false;
 }
 
-bool TransactionBuilder::register_host(HostShard& shard, const HostEntry& next, std::uint64_t atLeast) {
+bool TransactionBuilder::register_host(HostShard& shard, const HostEntry& next, std::uint64_t knownToken) {
     bool fits = update(shard, next.name, [&](ShardEdit& edit) {
         HostEntry entry = next;
         auto known = edit.hosts.find(next.name);
-        std::uint64_t before = std::max(known == edit.hosts.end() ? 0 : known->second.fencingToken, atLeast);
-        // Above every earlier one: those were at most one above a revision that the cache has seen, or are known here.
-        entry.fencingToken = std::max(state_.revision(), before) + 1;
+        std::uint64_t highest = std::max(known == edit.hosts.end() ? 0 : known->second.fencingToken, knownToken);
+        // Higher than every earlier token: each of those is known here or at most one above a revision in the cache.
+        entry.fencingToken = std::max(state_.revision(), highest) + 1;
         edit.set(entry);
     });
     if (fits) summary_.push_back("acquire " + next.name);
--- a/tests/in_memory_state_store.cpp
+++ b/tests/in_memory_state_store.cpp
@@ -18,8 +18,8 @@
 
 void InMemoryStateStore::set_time(double seconds) {
     if (limits && nowS_) {
-        const double earned = std::max(0.0, seconds - *nowS_) * limits->writeRps;
-        writesLeft_ = std::min(limits->writeRps, writesLeft_ + earned);
+        const double refill = std::max(0.0, seconds - *nowS_) * limits->writeRps;
+        writesLeft_ = std::min(limits->writeRps, writesLeft_ + refill);
     }
     nowS_ = seconds;
 }
@@ -55,9 +55,9 @@
 
 std::string InMemoryStateStore::commit(const Json& transaction) {
     if (limits) {
-        if (std::string what = too_large(transaction); !what.empty()) {
+        if (std::string exceeded = too_large(transaction); !exceeded.empty()) {
             ++refusedAsMalformed;
-            return "malformed " + what;
+            return "malformed " + exceeded;
         }
         const auto writes = static_cast<double>(transaction["apply"].size());
         if (nowS_ && writesLeft_ < writes) return "busy";
--- a/tests/in_memory_state_store.hpp
+++ b/tests/in_memory_state_store.hpp
@@ -1,7 +1,7 @@
-// Stands in for the state service, by its protocol: compare-and-swap transactions with preconditions, one revision per
-// transaction, and its limits on size and rate once they are enforced.
+// Fake of the state service that implements its protocol: compare-and-swap transactions with preconditions, one
+// revision per transaction, and, once enforced, the limits on size and write rate.
 //
-// Owns all keys and the log of changes. Single-threaded test support.
+// Owns all keys and the change log. Single-threaded test support.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 class InMemoryStateStore {
   public:
-    // One key that was written, or removed if it has no data.
+    // A write of one key, or its removal if there is no data.
     struct Change {
         std::string path;
         std::optional<wire::Json> data;
@@ -26,27 +26,27 @@
     };
     using Keys = std::map<std::string, std::pair<wire::Json, std::uint64_t>>;
 
-    // Applies a transaction or refuses it as a whole. Answers "ok REVISION", "conflict KEY ..." with each key whose
-    // precondition failed, "malformed WHY" (400, too large) or "busy" (429, above the rate of writes).
+    // Applies a transaction atomically or rejects it. Returns "ok REVISION", "conflict KEY ..." with each key whose
+    // precondition failed, "malformed REASON" (400, too large) or "busy" (429, above the write rate).
     std::string commit(const wire::Json& transaction);
-    // From now on values and transactions are limited in size, and writes by the time that passes (set_time).
+    // From now on limits the size of values and transactions, and, by the clock of set_time, the rate of writes.
     void enforce_limits(const config::StateLimits& next);
-    // Tells the time, in seconds of any clock that only goes forward.
+    // Sets the clock, in seconds; it must not go backwards.
     void set_time(double seconds);
-    // The revision at which the key was last written; 0 without one.
+    // The revision at which the key was last written; 0 if it does not exist.
     std::uint64_t revision_of(const std::string& path) const;
     // All keys with their values and revisions.
     const Keys& keys() const { return keys_; }
 
-    std::optional<config::StateLimits> limits;  // enforced, if set
-    int refusedAsMalformed = 0;                 // transactions
+    std::optional<config::StateLimits> limits;  // enforced if set
+    int refusedAsMalformed = 0;                 // number of transactions
     std::uint64_t revision = 0;                 // of the last transaction
-    std::vector<Change> log;                    // by revision
+    std::vector<Change> log;                    // in order of revision
 
   private:
-    // What of the transaction is too large, or "".
+    // The limit or key whose size the transaction exceeds; empty if none.
     std::string too_large(const wire::Json& transaction) const;
-    // The keys whose preconditions fail, each after a space.
+    // The keys whose preconditions fail, each with a leading space.
     std::string failed_preconditions(const wire::Json& transaction) const;
     void apply(const wire::Json& operation);
 
@@ -55,9 +55,9 @@
     double writesLeft_ = 0;
 };
 
-// Brings a cache up to what the store holds, as reading the watch does. `wallS` is the time of reading.
+// Applies the store's changes to a cache as watch events. `wallS` is the wall-clock time of the read.
 void read_changes(const InMemoryStateStore& store, state::StateCache& state, double wallS);
-// The keys that a transaction writes or removes.
+// The keys written or removed by a transaction.
 std::vector<std::string> written_keys(const wire::Json& transaction);
 
 }  // namespace wellstair::test
--- a/tests/lowered_limits_test.cpp
+++ b/tests/lowered_limits_test.cpp
@@ -1,4 +1,5 @@
-// Work goes on under the lowered limits of the state service, also when they are enforced before any shard was split.
+// Controllers keep working under the lowered limits of the state service, even if these are enforced before any shard
+// has been split.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,20 +16,20 @@
 
 namespace {
 
-// The limits are in force before anything was split, with one member away: its return to the cloud, and every other
-// change of a machine in a shard that is too large, goes through all the same.
-TEST(Upgrade, WorksWhenTheLimitsFallFirst) {
+// The limits are enforced before any split, while one member cannot switch the layout. Returning a machine to the cloud
+// and any other change of a machine in an oversized shard must still be committed.
+TEST(Upgrade, WorksWhenLimitsAreEnforcedBeforeAnySplit) {
     InMemoryStateStore store;
     load_production_state(store);
     store.enforce_limits(kNextLimits);
     UpgradedController a(store);
     a.put("ws/members/b", state::MemberData{12, "b", 0}.encode());
     a.rounds(200);
-    EXPECT_EQ(store.refusedAsMalformed, 1) << "a refusal for size is not repeated";
-    EXPECT_EQ(a.state().layout_revision(), 0u) << "the switch still waits for b";
+    EXPECT_EQ(store.refusedAsMalformed, 1) << "a rejected oversized write must not be repeated";
+    EXPECT_EQ(a.state().layout_revision(), 0u) << "the layout switch must wait for member b";
     for (const auto& [name, host] : machines_of(store))
         if (host.returnState != state::ReturnState::gone) {
-            EXPECT_EQ(host.incarnation, 21u) << name << " was not taken over";
+            EXPECT_EQ(host.incarnation, 21u) << name << " was not acquired";
         }
     auto builder = a.core().new_transaction();
     ASSERT_TRUE(builder.mark_for_return("n-000100", "a", 1'000'300, false, "test"));
@@ -39,8 +40,8 @@
     EXPECT_TRUE(a.state().host("n-000100")->gone());
 }
 
-// All machines come to a process that keeps none of them: a small transaction takes whole shards, not as many
-// single machines as it has operations. One machine a write took minutes of the state service's rate.
+// When all machines report to a process that leads none of them, a transaction acquires whole shards instead of one
+// machine per operation: with one machine per write, the take-over used minutes of the state service's write rate.
 TEST(Upgrade, TakeOverByHeartbeatsTakesWholeShards) {
     InMemoryStateStore store;
     load_production_state(store);
@@ -53,12 +54,13 @@
     UpgradedController a(store, kNextLimits, 50);
     std::size_t shards = 0;
     for (const auto& [key, value] : store.keys()) shards += key.starts_with("ws/hosts/");
-    // They come fifteen at a time, each of another shard than the one before: more shards than two transactions take.
+    // Fifteen machines report at a time, each from another shard than the one before: more shards than fit into two
+    // transactions.
     const std::size_t writes = store.log.size();
     int reported = 0;
     for (const auto& [name, host] : machines_of(store)) {
         auto* record = a.state().host(name);
-        if (record->incarnation == 50) continue;  // taken over with others
+        if (record->incarnation == 50) continue;  // already acquired with its shard
         wire::Heartbeat heartbeat;
         heartbeat.host = name, heartbeat.address = host.address, heartbeat.machineType = host.machineType,
         heartbeat.zone = "a";
@@ -66,17 +68,17 @@
         a.core().request_acquisition(heartbeat);
         if (++reported % 15 == 0) a.rounds(2);
     }
-    auto all_taken = [&] {
+    auto all_acquired = [&] {
         const auto machines = machines_of(store);
-        return std::all_of(machines.begin(), machines.end(), [](const auto& m) {
-            return m.second.returnState == state::ReturnState::gone || m.second.incarnation == 50;
+        return std::all_of(machines.begin(), machines.end(), [](const auto& machine) {
+            return machine.second.returnState == state::ReturnState::gone || machine.second.incarnation == 50;
         });
     };
-    for (int i = 0; i < 20 && !all_taken(); ++i) a.round();
-    EXPECT_TRUE(all_taken());
-    std::size_t claims = 0;
-    for (std::size_t i = writes; i < store.log.size(); ++i) claims += store.log[i].path.starts_with("ws/hosts/");
-    EXPECT_LE(claims, shards);
+    for (int i = 0; i < 20 && !all_acquired(); ++i) a.round();
+    EXPECT_TRUE(all_acquired());
+    std::size_t shardWrites = 0;
+    for (std::size_t i = writes; i < store.log.size(); ++i) shardWrites += store.log[i].path.starts_with("ws/hosts/");
+    EXPECT_LE(shardWrites, shards);
 }
 
 class WideGangs : public testing::TestWithParam<int> {
@@ -98,7 +100,7 @@
         }
     }
 
-    // Up to kTasks idle machines, each of another shard, with the index of the task that each takes.
+    // Up to kTasks idle machines of distinct shards, each with the index of the task to place there.
     static PlacedTasks idle_machines_of_distinct_shards(UpgradedController& a) {
         PlacedTasks tasks;
         std::set<state::HostShard*> shards;
@@ -125,7 +127,7 @@
     }
 };
 
-// A gang of 16 on machines of 16 shards has more keys to compare than 20 (or, with four operations, 16) conditions.
+// A gang of 16 tasks on 16 shards has more keys to compare than the 20 conditions (16 with four operations) allowed.
 TEST_P(WideGangs, StartUnderLowLimits) {
     InMemoryStateStore store;
     load_production_state(store);
@@ -150,11 +152,12 @@
     EXPECT_EQ(job->placed, kTasks);
     EXPECT_EQ(store.refusedAsMalformed, 0);
 
-    // A machine whose record was removed meanwhile: it had been gone for long, and the task that names it is gone too.
+    // The record of a machine is removed only long after the machine is gone, so its removal in the meantime proves
+    // that the task placed there is terminated.
     const std::string lost = tasks[3].second->name;
-    auto forget = a.core().new_transaction();
-    ASSERT_TRUE(forget.remove_host(*tasks[3].second));
-    ASSERT_TRUE(a.commit(forget).starts_with("ok"));
+    auto remove = a.core().new_transaction();
+    ASSERT_TRUE(remove.remove_host(*tasks[3].second));
+    ASSERT_TRUE(a.commit(remove).starts_with("ok"));
     EXPECT_TRUE(a.state().host(lost)->removed());
     a.rounds(20);
     EXPECT_EQ(job->task(3, a.state().chunk_size()).state, state::TaskState::open);
@@ -162,8 +165,9 @@
 
 INSTANTIATE_TEST_SUITE_P(TransactionOperations, WideGangs, testing::Values(5, 4));
 
-// A refusal that the announced limits do not explain: the key is left out for a while, and other work goes on.
-TEST(Upgrade, ARefusedKeyDoesNotStopOtherWork) {
+// If a write is rejected although it is within the announced limits, its key is skipped for a while and other changes
+// continue.
+TEST(Upgrade, RejectedKeyDoesNotBlockOtherChanges) {
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
@@ -172,7 +176,7 @@
     a.core().handle_rejected_transaction({"ws/hosts/a/1"}, a.now());
     auto builder = a.core().new_transaction();
     ASSERT_TRUE(builder.mark_for_return("n-000001", "a", 1'000'300, false, "test"));
-    EXPECT_TRUE(builder.empty()) << "the refused key is left out";
+    EXPECT_TRUE(builder.empty()) << "the rejected key must be skipped";
     ASSERT_TRUE(builder.mark_for_return("n-000003", "a", 1'000'300, false, "test"));
     EXPECT_FALSE(builder.empty());
 }
--- a/tests/production_data.cpp
+++ b/tests/production_data.cpp
@@ -9,7 +9,7 @@
 
 std::ifstream open_data(const std::string& name) {
     std::ifstream file(std::string(DATA) + "/" + name);
-    if (!file) throw std::runtime_error("no file tests/data/" + name);
+    if (!file) throw std::runtime_error("cannot open test data file tests/data/" + name);
     return file;
 }
 
--- a/tests/production_data.hpp
+++ b/tests/production_data.hpp
@@ -1,6 +1,6 @@
-// The records that production wrote for the stored story, see data/README.md.
+// Access to the records that the version in production wrote for StoredStory (see data/README.md).
 //
-// Owns nothing. Errors: a missing file throws std::runtime_error.
+// Throws std::runtime_error if a data file is missing.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 namespace wellstair::test {
 
-// Every change of the state service, in the order of the revisions.
+// All changes of the state service, in order of revision.
 std::vector<InMemoryStateStore::Change> production_state();
-// One packet between controllers, as bytes.
+// An encoded status packet between controllers.
 std::string production_packet();
-// Plays production's writes into a store, one transaction for each revision.
+// Applies the recorded changes to a store, one transaction per revision.
 void load_production_state(InMemoryStateStore& store);
 
 }  // namespace wellstair::test
--- a/tests/shard_split_test.cpp
+++ b/tests/shard_split_test.cpp
@@ -1,5 +1,5 @@
-// Shards that are too large for the announced limits are split: every machine and task is kept, whenever a process
-// crashes and whoever reads or registers meanwhile.
+// Shards that exceed the announced limits are split. No machine or task may be lost, whenever a process crashes and
+// whatever other processes read or register during the split.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
     a.other_is_new();
     ASSERT_TRUE(a.round().starts_with("ok"));
     ASSERT_EQ(a.core().state_limits(), kNextLimits);
-    // Only splitting: in rounds, the machines of the process that has ended would be registered anew as well.
+    // Splits without running rounds, which would also re-register the machines of the process that has ended.
     while (state::HostShard* large = oversized_shard(a.state())) {
         state::TransactionBuilder builder = a.core().new_transaction();
         ASSERT_TRUE(builder.split(*large)) << large->key;
@@ -33,7 +33,7 @@
     EXPECT_EQ(placed_tasks(a.state()), tasks);
 }
 
-// A process may end after any transaction; whoever comes next goes on from the store alone.
+// A process may crash after any transaction; its successor continues from the store alone.
 TEST(Upgrade, SplittingContinuesAfterACrashAtEachTransaction) {
     InMemoryStateStore store;
     load_production_state(store);
@@ -41,13 +41,14 @@
     std::size_t tasks = 0;
     {
         UpgradedController before(store);
-        tasks = placed_tasks(before.state()) - before.state().host("n-000008")->placed.size();  // which is gone
+        // n-000008 was returned to the cloud, so its tasks end.
+        tasks = placed_tasks(before.state()) - before.state().host("n-000008")->placed.size();
     }
     std::uint64_t incarnation = 30;
     for (int transactions = 0; transactions < 60; ++transactions) {
         UpgradedController a(store, kNextLimits, ++incarnation);
         if (transactions == 0) a.other_is_new();
-        a.rounds(1);  // and it ends
+        a.rounds(1);  // then it crashes
         EXPECT_EQ(machines_of(store).size(), machines) << "after transaction " << transactions;
     }
     UpgradedController a(store, kNextLimits, ++incarnation);
@@ -60,7 +61,8 @@
         }
 }
 
-// A shard of production that is as large as a value could be is split by its first change, in one transaction.
+// A shard that the version in production has filled up to its size limit is split by its first change, in one
+// transaction.
 TEST(Upgrade, TheLargestShardIsSplitByItsFirstChange) {
     InMemoryStateStore store;
     std::vector<state::HostEntry> hosts;
@@ -84,9 +86,9 @@
     EXPECT_EQ(machines_of(store).at(hosts[50].name).returnState, state::ReturnState::marked);
 }
 
-// New machines of a split shard are registered where everybody looks for them first, and never in two places: two
-// processes that register the same machine both change the key of the shard as it was before the split.
-TEST(Upgrade, TwoRegistrationsOfOneMachineExcludeOneAnother) {
+// After a split, new machines are still registered in the original shard. Two processes that register the same machine
+// therefore write the same key and conflict, and the machine cannot end up in two shards.
+TEST(Upgrade, ConcurrentRegistrationsOfAMachineConflict) {
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
@@ -103,9 +105,9 @@
     machines_of(store);
 }
 
-// A reader that begins while a shard is being split: it has read the shard before and its parts after the change, and
-// then sees the change once more.
-TEST(Upgrade, AReaderInTheMiddleOfASplitAgrees) {
+// A reader that starts during a split may read the shard before the split and its parts after it, and then receives the
+// split again from the watch.
+TEST(Upgrade, ReaderThatStartsDuringASplitIsConsistent) {
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
@@ -132,7 +134,8 @@
         for (const auto& change : store.log)
             if (change.revision > revision) changes.push_back(change);
         if (!shardFirst) std::reverse(changes.begin(), changes.end());
-        for (const auto& c : changes) reader.apply(c.path, c.data ? &*c.data : nullptr, c.revision, 0);
+        for (const auto& change : changes)
+            reader.apply(change.path, change.data ? &*change.data : nullptr, change.revision, 0);
         reader.advance(store.revision);
         for (const auto& [name, host] : machines_of(store)) {
             auto* record = reader.host(name);
@@ -142,18 +145,18 @@
     }
 }
 
-// Moving a machine is no new registration: nothing noted about it is lost, and its tasks stay where they are.
-TEST(Upgrade, MovingAMachineIsNoRegistration) {
+// Moving a machine to another shard is not a new registration: its observed state and its tasks are kept.
+TEST(Upgrade, MovedMachineKeepsItsRegistration) {
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
     a.other_is_new();
     a.round();
     int registered = 0, removed = 0;
-    auto registration = a.state().onRegistered;
-    a.state().onRegistered = [&](state::HostRecord& h) { ++registered, registration(h); };
+    auto onRegistered = a.state().onRegistered;
+    a.state().onRegistered = [&](state::HostRecord& host) { ++registered, onRegistered(host); };
     a.state().onRemoved = [&](state::HostRecord&) { ++removed; };
-    const double seen = a.state().host("n-000400")->registeredS;
+    const double registeredS = a.state().host("n-000400")->registeredS;
     while (state::HostShard* large = oversized_shard(a.state())) {
         auto builder = a.core().new_transaction();
         ASSERT_TRUE(builder.split(*large));
@@ -161,7 +164,7 @@
     }
     EXPECT_EQ(registered, 0);
     EXPECT_EQ(removed, 0);
-    EXPECT_EQ(a.state().host("n-000400")->registeredS, seen);
+    EXPECT_EQ(a.state().host("n-000400")->registeredS, registeredS);
     EXPECT_NE(a.state().host("n-000400")->shard->part, 0u);
 }
 
--- a/tests/stored_story.cpp
+++ b/tests/stored_story.cpp
@@ -11,7 +11,7 @@
 
 constexpr int kRounds = 40;
 constexpr double kRoundS = 0.25;
-constexpr std::uint64_t kLastReport = 4;  // sequence of the heartbeats in which some tasks have ended
+constexpr std::uint64_t kFinalSequence = 4;  // of the heartbeats that report some tasks as ended
 
 }  // namespace
 
@@ -56,15 +56,15 @@
     return status;
 }
 
-// --- controllers
+// Controllers.
 
 void StoredStory::write_unconditionally(wire::Json operations) {
     store_.commit({{"when", wire::Json::array()}, {"apply", std::move(operations)}});
 }
 
-void StoredStory::sync(Controller& c) {
-    read_changes(store_, c.core->state(), now().wall);
-    c.core->request_replan();
+void StoredStory::sync(Controller& reader) {
+    read_changes(store_, reader.core->state(), now().wall);
+    reader.core->request_replan();
 }
 
 bool StoredStory::commit(const state::TransactionBuilder& builder) {
@@ -74,20 +74,21 @@
     return applied;
 }
 
-void StoredStory::join(Controller& c, std::uint64_t incarnation) {
-    c.core = std::make_unique<controller::Core>(c.settings, controller::Tunables{}, incarnation);
-    sync(c);
-    write_unconditionally({{{"set", "ws/members/" + c.settings.member}, {"data", member_(*c.core, c.settings)}}});
-    sync(c);
-    c.core->set_state_ready(true);
-    c.core->set_availability(state::Availability::serving, now());
+void StoredStory::join(Controller& joining, std::uint64_t incarnation) {
+    joining.core = std::make_unique<controller::Core>(joining.settings, controller::Tunables{}, incarnation);
+    sync(joining);
+    write_unconditionally(
+        {{{"set", "ws/members/" + joining.settings.member}, {"data", member_(*joining.core, joining.settings)}}});
+    sync(joining);
+    joining.core->set_state_ready(true);
+    joining.core->set_availability(state::Availability::serving, now());
 }
 
-void StoredStory::run_rounds(Controller& c) {
+void StoredStory::run_rounds(Controller& running) {
     for (int i = 0; i < kRounds; ++i) {
         timeS_ += kRoundS;
-        c.core->advance_time(now());
-        commit(c.core->round(now()));
+        running.core->advance_time(now());
+        commit(running.core->round(now()));
     }
 }
 
@@ -97,7 +98,7 @@
     commit(builder);
 }
 
-// --- machines and tasks
+// Machines and tasks.
 
 wire::Heartbeat StoredStory::heartbeat(int machine, std::uint64_t sequence) {
     char name[16];
@@ -121,14 +122,15 @@
 }
 
 void StoredStory::run_tasks_and_end_some() {
-    for (std::uint64_t sequence = 3; sequence <= kLastReport; ++sequence) {
+    for (std::uint64_t sequence = 3; sequence <= kFinalSequence; ++sequence) {
         for (int machine = 1; machine <= kMachines; ++machine) report_tasks(machine, sequence);
         timeS_ += 1;
     }
     for (int i = 0; i < 2; ++i) commit(a_.core->round(now()));
 }
 
-// All tasks placed on the machine run; with the last report those of j-short and a third of j-batch have ended.
+// Reports all tasks placed on the machine as running; the final report has those of j-short and a third of j-batch
+// ended.
 void StoredStory::report_tasks(int machine, std::uint64_t sequence) {
     wire::Heartbeat report = heartbeat(machine, sequence);
     auto* host = a_.core->state().host(report.host);
@@ -138,7 +140,7 @@
         task.index = ref.index;
         task.attempt = ref.job->task(ref.index, a_.core->state().chunk_size()).attempt;
         const bool ends = task.job == "j-short" || (task.job == "j-batch" && task.index % 3 == 0);
-        task.phase = ends && sequence == kLastReport ? wire::TaskPhase::ended : wire::TaskPhase::running;
+        task.phase = ends && sequence == kFinalSequence ? wire::TaskPhase::ended : wire::TaskPhase::running;
         if (task.phase == wire::TaskPhase::ended)
             task.cause = task.index % 2 ? wire::Cause::stopped : wire::Cause::done;
         report.tasks.push_back(task);
@@ -152,7 +154,7 @@
     commit(builder);
 }
 
-// --- jobs
+// Jobs.
 
 void StoredStory::submit(const std::string& id, const std::string& kind, int tasks, const std::string& team) {
     wire::Json body = {{"ref", id},        {"lane", "work"},   {"crew", team},     {"shape", kind},
--- a/tests/stored_story.hpp
+++ b/tests/stored_story.hpp
@@ -1,5 +1,6 @@
-// A story that writes every kind of record that controllers keep in the state service. It is told by whichever version
-// it is built with: the records that production wrote for it are kept in tests/data (see the README there).
+// A scripted scenario that makes controllers write every kind of record that they keep in the state service. It builds
+// with several versions of the code; the records that the version in production wrote for it are stored in tests/data
+// (see the README there).
 //
 // Owns two controllers and their state service. Single-threaded test support.
 #pragma once
@@ -15,17 +16,18 @@
 
 namespace wellstair::test {
 
-// What a process writes about itself when it registers.
+// Returns the member record that a process writes when it registers.
 using MemberValue = std::function<wire::Json(const controller::Core&, const config::Settings&)>;
 
+// tests/data/make_production_data.cpp depends on the names of this class.
 class StoredStory {
   public:
-    static constexpr int kMachines = 400;  // of one zone: each of its six shards takes more than 2 KiB
+    static constexpr int kMachines = 400;  // in one zone, so that each of its six shards exceeds 2 KiB
 
     StoredStory(config::Settings settings, MemberValue member);
-    // Plays the whole story; returns all changes of the state service in their order.
+    // Runs the scenario and returns all changes of the state service in order.
     const std::vector<InMemoryStateStore::Change>& tell();
-    // The status packet between controllers that is kept beside the records.
+    // The status packet between controllers that is stored next to the records.
     static peers::PeerStatus peerStatus();
 
   private:
@@ -37,10 +39,10 @@
     std::int64_t wall_seconds() const { return static_cast<std::int64_t>(now().wall); }
 
     void write_unconditionally(wire::Json operations);
-    void sync(Controller& c);
+    void sync(Controller& reader);
     bool commit(const state::TransactionBuilder& builder);
-    void join(Controller& c, std::uint64_t incarnation);
-    void run_rounds(Controller& c);
+    void join(Controller& joining, std::uint64_t incarnation);
+    void run_rounds(Controller& running);
     wire::Heartbeat heartbeat(int machine, std::uint64_t sequence);
     void register_machines();
     void submit(const std::string& id, const std::string& kind, int tasks, const std::string& team);
