--- a/src/autoscaling/scale_in_policy.cpp
+++ b/src/autoscaling/scale_in_policy.cpp
@@ -213,7 +213,7 @@
     return true;
 }
 
-std::vector<std::string> ScaleInPolicy::due(Timestamp now) const {
+std::vector<std::string> ScaleInPolicy::hosts_due_for_return(Timestamp now) const {
     std::vector<std::string> hosts;
     if (!role_.held_here()) return hosts;
     for (const auto& [name, host] : context_.state().hosts()) {
--- a/src/autoscaling/scale_in_policy.hpp
+++ b/src/autoscaling/scale_in_policy.hpp
@@ -33,7 +33,7 @@
     // Marks hosts for return as far as the transaction has room.
     void propose(state::TransactionBuilder& builder, Timestamp now);
     // Marked hosts that are to be returned to the cloud now, at most as many as one call may name.
-    std::vector<std::string> due(Timestamp now) const;
+    std::vector<std::string> hosts_due_for_return(Timestamp now) const;
     // The cloud has confirmed the return of these hosts.
     void mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now);
 
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -116,7 +116,7 @@
     for (const auto& [name, t] : context_.state().types()) {
         if (s.machineTypes && std::find(s.machineTypes->begin(), s.machineTypes->end(), name) == s.machineTypes->end())
             continue;
-        if (!placement::Need{s.cores, s.gpus, s.ramGb}.fits({t.cores, t.gpus, t.ramGb})) continue;
+        if (!placement::Resources{s.cores, s.gpus, s.ramGb}.fits({t.cores, t.gpus, t.ramGb})) continue;
         for (const std::string& zone : t.zones)
             if (!s.zone || *s.zone == zone) zones.insert(zone);
     }
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -146,7 +146,7 @@
     std::vector<ScaleOutRequest> scale_out_requests(Timestamp now);
     void rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now);
     void refused(const ScaleOutRequest& order, Timestamp now);
-    std::vector<std::string> scale_in_due(Timestamp now) const { return scaleIn_.due(now); }
+    std::vector<std::string> scale_in_due(Timestamp now) const { return scaleIn_.hosts_due_for_return(now); }
     void mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now) {
         scaleIn_.mark_gone(builder, hosts, now);
     }
--- a/src/controller/scale_out.cpp
+++ b/src/controller/scale_out.cpp
@@ -67,7 +67,8 @@
     std::map<std::string, double> idle;
     for (std::size_t i = 0; i < plan.records.size(); ++i) {
         const std::string& name = plan.records[i]->name;
-        if (ahead.machines()[i].holds.empty()) idle[name] = idleHosts_.count(name) ? idleHosts_[name] : now.steady;
+        if (ahead.machines()[i].allocations.empty())
+            idle[name] = idleHosts_.count(name) ? idleHosts_[name] : now.steady;
     }
     idleHosts_ = std::move(idle);
 }
@@ -101,9 +102,9 @@
                 pending.push_back(onTheWay[offer_key(kind)]);
                 kinds.push_back(kind);
             }
-    std::vector<placement::Want> wants;
+    std::vector<placement::TaskDemand> wants;
     for (const auto& [s, count] : unmetDemand_) {
-        placement::Want w{need_of(s), count, {}};
+        placement::TaskDemand w{need_of(s), count, {}};
         for (const auto& o : offers) w.allowed.push_back(allows(s, o.machineType, o.zone, o.spot));
         wants.push_back(std::move(w));
     }
@@ -111,7 +112,7 @@
     auto most = static_cast<std::uint32_t>(std::max<std::size_t>(20, context_.state().hosts().size() / 16));
     for (const auto& r : placement::choose_scale_out(offers, wants, pending, most)) {
         ScaleOutRequest o = kinds[r.offer];
-        o.number = std::min(r.number, 50u);
+        o.number = std::min(r.machineCount, 50u);
         out.push_back(o);
     }
     return out;
--- a/src/placement/cache.cpp
+++ b/src/placement/cache.cpp
@@ -4,7 +4,7 @@
 
 namespace wellstair::placement {
 
-void ImageCache::fetch(const std::string& image, double gb, double now, double readyAt) {
+void ImageCache::begin_fetch(const std::string& image, double gb, double now, double readyAt) {
     auto [it, isNew] = images_.try_emplace(image);
     Entry& entry = it->second;
     if (isNew) {
@@ -17,7 +17,7 @@
     if (isNew) evict();
 }
 
-void ImageCache::ready(const std::string& image, double gb, double now) {
+void ImageCache::mark_cached(const std::string& image, double gb, double now) {
     auto [it, isNew] = images_.try_emplace(image);
     Entry& entry = it->second;
     if (isNew) {
--- a/src/placement/cache.hpp
+++ b/src/placement/cache.hpp
@@ -16,9 +16,9 @@
     void set_capacity(double gb) { capacityGb_ = gb; }
 
     // A task that needs the image was placed: unless cached, its fetch ends at `readyAt`.
-    void fetch(const std::string& image, double gb, double now, double readyAt);
+    void begin_fetch(const std::string& image, double gb, double now, double readyAt);
     // A task with the image was seen running: the image is there.
-    void ready(const std::string& image, double gb, double now);
+    void mark_cached(const std::string& image, double gb, double now);
     // The task no longer needs it; an unfinished fetch that nobody waits for is given up.
     void release(const std::string& image, double now);
 
--- a/src/placement/lem.cpp
+++ b/src/placement/lem.cpp
@@ -19,26 +19,26 @@
 constexpr std::size_t kHoldsPerLook = 8;
 constexpr std::size_t kComparisonsPerLook = 16;
 
-bool ends_earlier(const Hold& a, const Hold& b) {
+bool ends_earlier(const Allocation& a, const Allocation& b) {
     return a.until < b.until;
 }
 
-Need most(const Need& a, const Need& b) {
+Resources most(const Resources& a, const Resources& b) {
     return {std::max(a.cores, b.cores), std::max(a.gpus, b.gpus), std::max(a.ramGb, b.ramGb)};
 }
 
 // A change of what is free on a machine, when a hold begins or ends.
 struct FreeChange {
     double at;
-    Need change;
+    Resources change;
 };
 
 // The changes after `now` that the holds make, in the order of time.
-void list_changes(const std::vector<Hold>& holds, double now, std::vector<FreeChange>& changes) {
+void list_changes(const std::vector<Allocation>& allocations, double now, std::vector<FreeChange>& changes) {
     changes.clear();
-    for (const Hold& hold : holds) {
+    for (const Allocation& hold : allocations) {
         if (hold.until <= now) continue;
-        if (hold.from > now) changes.push_back({hold.from, Need{} - hold.need});
+        if (hold.from > now) changes.push_back({hold.from, Resources{} - hold.need});
         changes.push_back({hold.until, hold.need});
     }
     std::sort(changes.begin(), changes.end(), [](const FreeChange& a, const FreeChange& b) { return a.at < b.at; });
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-std::uint32_t times(const Need& room, const Need& need) {
+std::uint32_t fit_count(const Resources& room, const Resources& need) {
     constexpr double kMostTimes = 1e6;
     constexpr double kNothing = 1e-9;  // less than this is not needed at all
     double fitting = kMostTimes;
@@ -56,12 +56,12 @@
     limitBy(room.cores, need.cores);
     limitBy(room.gpus, need.gpus);
     limitBy(room.ramGb, need.ramGb);
-    return static_cast<std::uint32_t>(std::max(0.0, std::floor(fitting + Need::kTolerance)));
+    return static_cast<std::uint32_t>(std::max(0.0, std::floor(fitting + Resources::kTolerance)));
 }
 
-Need free_at(const Machine& machine, double at) {
-    Need used;
-    for (const Hold& hold : machine.holds)
+Resources free_at(const Machine& machine, double at) {
+    Resources used;
+    for (const Allocation& hold : machine.allocations)
         if (hold.from <= at && at < hold.until) used += hold.need;
     return machine.total - used;
 }
@@ -81,10 +81,10 @@
     for (std::size_t i = 0; i < machines_.size(); ++i) {
         Machine& machine = machines_[i];
         idle_ += !machine.busy;
-        std::sort(machine.holds.begin(), machine.holds.end(), ends_earlier);
+        std::sort(machine.allocations.begin(), machine.allocations.end(), ends_earlier);
         free_.push_back(free_at(machine, now_));
-        promised_.push_back(std::any_of(machine.holds.begin(), machine.holds.end(),
-                                        [&](const Hold& hold) { return hold.from > now_; }));
+        promised_.push_back(std::any_of(machine.allocations.begin(), machine.allocations.end(),
+                                        [&](const Allocation& hold) { return hold.from > now_; }));
         if (machine.nodePool >= byNodePool_.size()) {
             byNodePool_.resize(machine.nodePool + 1);
             roomiest_.resize(machine.nodePool + 1);
@@ -101,17 +101,17 @@
 }
 
 // Line 3 of algorithms 2 and 3; with promises to respect, line 3' of section IV.C.
-double Planner::earliest(std::size_t machine, const Need& need, double length) const {
+double Planner::earliest_start(std::size_t machine, const Resources& need, double length) const {
     if (!need.fits(machines_[machine].total)) return kNever;
     if (!promised_[machine]) return earliest_after_running(machine, need);
     return earliest_between_holds(machine, need, length);
 }
 
 // The usual case: nothing was promised, resources only get free, as what runs ends.
-double Planner::earliest_after_running(std::size_t machine, const Need& need) const {
-    Need free = free_[machine];
+double Planner::earliest_after_running(std::size_t machine, const Resources& need) const {
+    Resources free = free_[machine];
     if (need.fits(free)) return now_;
-    for (const Hold& hold : machines_[machine].holds) {  // in the order of their ends
+    for (const Allocation& hold : machines_[machine].allocations) {  // in the order of their ends
         if (hold.until <= now_) continue;
         free += hold.need;
         if (need.fits(free)) return hold.until;
@@ -120,10 +120,10 @@
 }
 
 // One sweep over what begins and ends: the first time from which the need fits for all of its length.
-double Planner::earliest_between_holds(std::size_t machine, const Need& need, double length) const {
+double Planner::earliest_between_holds(std::size_t machine, const Resources& need, double length) const {
     static thread_local std::vector<FreeChange> changes;  // kept between calls to save its allocation
-    list_changes(machines_[machine].holds, now_, changes);
-    Need free = free_[machine];
+    list_changes(machines_[machine].allocations, now_, changes);
+    Resources free = free_[machine];
     double start = need.fits(free) ? now_ : kNever;
     for (std::size_t k = 0; k < changes.size();) {
         double at = changes[k].at;
@@ -149,13 +149,13 @@
     bool wastesGpus = request.need.gpus <= 0 && machine.total.gpus > 0;
     double ownPenalty = machine.penaltyS + (wastesGpus ? weights_.gpuHostPenaltyS : 0);
     // Small tasks side by side on few machines leave whole ones to wide tasks.
-    if (!machine.busy && weights_.emptyHostPenaltyS > 0 && times(machine.total, request.need) > 1)
+    if (!machine.busy && weights_.emptyHostPenaltyS > 0 && fit_count(machine.total, request.need) > 1)
         ownPenalty += weights_.emptyHostPenaltyS;
     if (!saturated) return ready + ownPenalty;
     double evictionPenalty = 0;
     if (cachedAt < 0 && machine.cacheGb > 0 && machine.fetchGbPerS > 0 && machine.cache)
         evictionPenalty = machine.cache->total_gb() * request.imageGb / machine.cacheGb / machine.fetchGbPerS;
-    return start + weights_.w * (ready - start) + evictionPenalty + ownPenalty;
+    return start + weights_.loadOverheadWeight * (ready - start) + evictionPenalty + ownPenalty;
 }
 
 bool Planner::zone_allowed(const Request& request, std::uint32_t zone) const {
@@ -164,15 +164,15 @@
             if (tasks > 0 && name != zone) return false;
     if (request.spread)
         for (const auto& [name, tasks] : request.tasksPerZone)
-            if (name == zone && tasks >= request.spreadCap) return false;
+            if (name == zone && tasks >= request.maxTasksPerZone) return false;
     return true;
 }
 
 void Planner::hold(std::size_t machine, double start, const Request& request) {
     Machine& held = machines_[machine];
-    Hold hold{start, start + std::max(request.estimatedDurationS, kMinHoldS), request.need};
-    auto place = std::upper_bound(held.holds.begin(), held.holds.end(), hold, ends_earlier);
-    held.holds.insert(place, hold);
+    Allocation hold{start, start + std::max(request.estimatedDurationS, kMinHoldS), request.need};
+    auto place = std::upper_bound(held.allocations.begin(), held.allocations.end(), hold, ends_earlier);
+    held.allocations.insert(place, hold);
     if (start > now_) {
         promised_[machine] = true;
         return;
@@ -184,7 +184,7 @@
     }
 }
 
-void Planner::reserve(std::size_t machine, const Need& need, double until) {
+void Planner::reserve(std::size_t machine, const Resources& need, double until) {
     Request request;
     request.need = need;
     request.estimatedDurationS = until - now_;
@@ -213,7 +213,7 @@
 void Planner::add_with_room_now(const Request& request, std::size_t nodePool, MachineList& list) {
     if (!request.need.fits(roomiest_[nodePool])) return;
     looked_ += byNodePool_[nodePool].size();
-    Need roomiest;
+    Resources roomiest;
     for (std::size_t machine : byNodePool_[nodePool]) {
         roomiest = most(roomiest, free_[machine]);
         if (request.need.fits(free_[machine])) list.push_back(machine);
@@ -223,16 +223,17 @@
 
 // The earliest start that may be promised to a task of the request; infinity if there is none.
 double Planner::promisable(std::size_t machine, const Request& request, bool startOnly) const {
-    bool onlyNow = startOnly || machines_[machine].holds.size() > kMaxHolds;
+    bool onlyNow = startOnly || machines_[machine].allocations.size() > kMaxHolds;
     if (onlyNow && !request.need.fits(free_[machine])) return kNever;
-    const double start = earliest(machine, request.need, request.estimatedDurationS);
-    return start - now_ > kEndlessS / 2 ? kNever : start;  // room that a service holds gets free at no known time
+    const double start = earliest_start(machine, request.need, request.estimatedDurationS);
+    return start - now_ > kUnboundedDurationS / 2 ? kNever
+                                                  : start;  // room that a service holds gets free at no known time
 }
 
 // Replicas that share a machine or a zone are lost together.
 double Planner::anti_affinity_penalty(std::size_t machine, const Request& request) const {
     if (!request.antiAffine) return 0;
-    auto replicas = std::count(request.onMachines.begin(), request.onMachines.end(), machine);
+    auto replicas = std::count(request.replicaMachines.begin(), request.replicaMachines.end(), machine);
     double penalty = weights_.sameHostPenaltyS * static_cast<double>(replicas);
     for (const auto& [zone, tasks] : request.tasksPerZone)
         if (zone == machines_[machine].zone) penalty += weights_.sameZonePenaltyS * tasks;
@@ -251,7 +252,7 @@
 std::vector<Planner::Candidate> Planner::batch_candidates(const Request& request, bool startOnly, bool saturated) {
     std::vector<Candidate> candidates;
     for (std::size_t machine : machines_for(request, startOnly)) {
-        looked_ += machines_[machine].holds.size() / kHoldsPerLook;
+        looked_ += machines_[machine].allocations.size() / kHoldsPerLook;
         Candidate candidate{machine, promisable(machine, request, startOnly),
                             cached_at(machines_[machine], request.image), kNever};
         rate(candidate, request, startOnly, saturated);
@@ -291,7 +292,7 @@
         slots.push_back({best->machine, best->start});
         hold(best->machine, best->start, remaining);
         if (best->start <= now_) remaining.count_task_in(machines_[best->machine].zone);
-        if (remaining.antiAffine) remaining.onMachines.push_back(best->machine);
+        if (remaining.antiAffine) remaining.replicaMachines.push_back(best->machine);
         best->start = promisable(best->machine, remaining, startOnly);
         rate(*best, remaining, startOnly, ratedSaturated);
     }
--- a/src/placement/lem.hpp
+++ b/src/placement/lem.hpp
@@ -21,71 +21,71 @@
 namespace wellstair::placement {
 
 // Longer than any plan looks ahead, in seconds: how long a task that does not end by itself keeps its resources.
-inline constexpr double kEndlessS = 1e9;
+inline constexpr double kUnboundedDurationS = 1e9;
 
 // An amount of resources: of a task, or free on a machine.
-struct Need {
+struct Resources {
     double cores = 0, gpus = 0, ramGb = 0;
 
-    Need& operator+=(const Need& other) {
+    Resources& operator+=(const Resources& other) {
         cores += other.cores;
         gpus += other.gpus;
         ramGb += other.ramGb;
         return *this;
     }
     // Whether the resources in `room` suffice; rounding errors of sums do not count.
-    bool fits(const Need& room) const {
+    bool fits(const Resources& room) const {
         return cores <= room.cores + kTolerance && gpus <= room.gpus + kTolerance && ramGb <= room.ramGb + kTolerance;
     }
 
     static constexpr double kTolerance = 1e-6;
 };
-inline Need operator-(const Need& a, const Need& b) {
+inline Resources operator-(const Resources& a, const Resources& b) {
     return {a.cores - b.cores, a.gpus - b.gpus, a.ramGb - b.ramGb};
 }
-inline Need operator+(Need a, const Need& b) {
+inline Resources operator+(Resources a, const Resources& b) {
     return a += b;
 }
 // How many times `need` fits into `room`; a million at most.
-std::uint32_t times(const Need& room, const Need& need);
+std::uint32_t fit_count(const Resources& room, const Resources& need);
 
 // Resources of a machine that are taken for some time, by a task that runs or by one that was promised its start.
-struct Hold {
+struct Allocation {
     double from, until;
-    Need need;
+    Resources need;
 };
 
 // A machine as the planner sees it.
 struct Machine {
-    std::uint32_t nodePool = 0;         // index into Request::allowed: machines of one type, zone and spot flag
-    std::uint32_t zone = 0;             // the caller's number of the zone
-    Need total;                         // free when nothing runs
-    double cacheGb = 0;                 // size of its image cache (M in algorithm 3), gigabytes
-    double fetchGbPerS = 0;             // how fast it pulls images (bandwidth in algorithm 3)
-    const ImageCache* cache = nullptr;  // not owned, must outlive the planner; null: nothing is cached
-    std::vector<Hold> holds;            // what runs and what was promised
-    bool busy = false;                  // runs at least one task
-    double penaltyS = 0;                // added to the score: machines under suspicion
+    std::uint32_t nodePool = 0;           // index into Request::allowed: machines of one type, zone and spot flag
+    std::uint32_t zone = 0;               // the caller's number of the zone
+    Resources total;                      // free when nothing runs
+    double cacheGb = 0;                   // size of its image cache (M in algorithm 3), gigabytes
+    double fetchGbPerS = 0;               // how fast it pulls images (bandwidth in algorithm 3)
+    const ImageCache* cache = nullptr;    // not owned, must outlive the planner; null: nothing is cached
+    std::vector<Allocation> allocations;  // what runs and what was promised
+    bool busy = false;                    // runs at least one task
+    double penaltyS = 0;                  // added to the score: machines under suspicion
 };
 
 // What the machine's holds leave free at a moment.
-Need free_at(const Machine& machine, double at);
+Resources free_at(const Machine& machine, double at);
 
 // Tasks of one job that are to be placed.
 struct Request {
-    Need need;  // of each task
+    Resources need;  // of each task
     std::string image;
     double imageGb = 0;             // gigabytes
     double estimatedDurationS = 0;  // of each task
     std::uint32_t count = 0;        // tasks to place
     bool coLocated = false;         // all tasks of the job in one zone
-    bool spread = false;            // at most `spreadCap` tasks of the job in one zone
-    std::uint32_t spreadCap = 0;
+    bool spread = false;            // at most `maxTasksPerZone` tasks of the job in one zone
+    std::uint32_t maxTasksPerZone = 0;
     std::vector<std::pair<std::uint32_t, std::uint32_t>> tasksPerZone;  // zone, tasks that the job already has there
     std::vector<bool> allowed;                                          // by node pool
     // Replicas of a service: kept on different machines, then in different zones, where that costs little.
     bool antiAffine = false;
-    std::vector<std::size_t> onMachines;  // machines that have replicas of it, once for each
+    std::vector<std::size_t> replicaMachines;  // machines that have replicas of it, once for each
 
     // Adds a task of the job in this zone to `tasksPerZone`.
     void count_task_in(std::uint32_t zone);
@@ -99,11 +99,11 @@
 
 // How scores are made up. Penalties are seconds that are added to a machine's score.
 struct Weights {
-    double w = 1;                  // W of algorithm 3, weight of the load overhead
-    double gpuHostPenaltyS = 0;    // a task without GPUs on a machine that has them
-    double sameHostPenaltyS = 0;   // per replica of the same service on the machine
-    double sameZonePenaltyS = 0;   // per replica of the same service in the zone
-    double emptyHostPenaltyS = 0;  // an empty machine of which a task leaves room for more of its kind
+    double loadOverheadWeight = 1;  // W of algorithm 3, weight of the load overhead
+    double gpuHostPenaltyS = 0;     // a task without GPUs on a machine that has them
+    double sameHostPenaltyS = 0;    // per replica of the same service on the machine
+    double sameZonePenaltyS = 0;    // per replica of the same service in the zone
+    double emptyHostPenaltyS = 0;   // an empty machine of which a task leaves room for more of its kind
     enum class Mode { mixed, eft, lea } mode = Mode::mixed;  // the last two for ablations
 };
 
@@ -120,17 +120,17 @@
     // for it, unless `startOnly`.
     std::vector<Slot> place_gang(const Request& request, bool startOnly);
     // Resources that are being freed for a job: nothing else starts there until then.
-    void reserve(std::size_t machine, const Need& need, double until);
+    void reserve(std::size_t machine, const Resources& need, double until);
 
     const std::vector<Machine>& machines() const { return machines_; }
     // What is free on the machine now.
-    Need free_now(std::size_t machine) const { return free_[machine]; }
+    Resources free_now(std::size_t machine) const { return free_[machine]; }
     // Whether each machine runs at least one task: LEA scores then (algorithm 5, line 2).
     bool saturated() const;
     // The first time from which the need is free for `length` seconds; infinity if it never is.
-    double earliest(std::size_t machine, const Need& need, double length) const;
+    double earliest_start(std::size_t machine, const Resources& need, double length) const;
     // What the plan has cost so far, in machines looked at.
-    std::uint64_t looked() const { return looked_; }
+    std::uint64_t machines_examined() const { return looked_; }
 
   private:
     // A machine that a batch may use.
@@ -153,8 +153,8 @@
     };
     using MachineList = std::vector<std::size_t>;
 
-    double earliest_after_running(std::size_t machine, const Need& need) const;
-    double earliest_between_holds(std::size_t machine, const Need& need, double length) const;
+    double earliest_after_running(std::size_t machine, const Resources& need) const;
+    double earliest_between_holds(std::size_t machine, const Resources& need, double length) const;
     double score(const Machine& machine, const Request& request, double start, double cachedAt, bool saturated) const;
     double cached_at(const Machine& machine, const std::string& image) const;
     double anti_affinity_penalty(std::size_t machine, const Request& request) const;
@@ -179,10 +179,10 @@
     std::vector<Machine> machines_;
     Weights weights_;
     std::size_t idle_ = 0;                 // machines that run no task
-    std::vector<Need> free_;               // now, by machine
+    std::vector<Resources> free_;          // now, by machine
     std::vector<bool> promised_;           // has holds that begin later, by machine
     std::vector<MachineList> byNodePool_;  // machines of each node pool
-    std::vector<Need> roomiest_;           // at least the most that is free now on any machine of the node pool
+    std::vector<Resources> roomiest_;      // at least the most that is free now on any machine of the node pool
     std::uint64_t looked_ = 0;
 };
 
--- a/src/placement/lem_gang.cpp
+++ b/src/placement/lem_gang.cpp
@@ -9,14 +9,14 @@
 // Starts of a gang that are tried, spread over the ends of holds, so that a long queue does not cost a long search.
 constexpr std::size_t kMaxGangStarts = 24;
 
-Need least(const Need& a, const Need& b) {
+Resources least(const Resources& a, const Resources& b) {
     return {std::min(a.cores, b.cores), std::min(a.gpus, b.gpus), std::min(a.ramGb, b.ramGb)};
 }
 
 // What is free at `at` and stays so, whatever begins later, for `length` seconds.
-Need free_from(const Machine& machine, double at, double length) {
-    Need free = free_at(machine, at);
-    for (const Hold& hold : machine.holds)
+Resources free_from(const Machine& machine, double at, double length) {
+    Resources free = free_at(machine, at);
+    for (const Allocation& hold : machine.allocations)
         if (hold.from > at && hold.from < at + length) free = least(free, free_at(machine, hold.from));
     return free;
 }
@@ -25,8 +25,8 @@
 
 // Tasks of the request that the machine can hold from `at` on, for as long as they take.
 std::uint32_t Planner::capacity(std::size_t machine, const Request& request, double at) const {
-    if (at <= now_ && !promised_[machine]) return times(free_[machine], request.need);
-    return times(free_from(machines_[machine], at, request.estimatedDurationS), request.need);
+    if (at <= now_ && !promised_[machine]) return fit_count(free_[machine], request.need);
+    return fit_count(free_from(machines_[machine], at, request.estimatedDurationS), request.need);
 }
 
 // The machines with room at that time, lowest score first; none if they have no room for all tasks together.
@@ -105,8 +105,8 @@
     std::vector<double> ends;
     for (const MachineList& group : groups)
         for (std::size_t machine : group)
-            for (const Hold& hold : machines_[machine].holds)
-                if (hold.until > now_ && hold.until - now_ < kEndlessS / 2) ends.push_back(hold.until);
+            for (const Allocation& hold : machines_[machine].allocations)
+                if (hold.until > now_ && hold.until - now_ < kUnboundedDurationS / 2) ends.push_back(hold.until);
     std::sort(ends.begin(), ends.end());
     ends.erase(std::unique(ends.begin(), ends.end()), ends.end());
     return ends;
--- a/src/placement/overload.cpp
+++ b/src/placement/overload.cpp
@@ -27,12 +27,12 @@
     LevelOrder order;
     order.work = ahead;
     Indices candidates;
-    for (std::size_t job : remaining) (level < jobs[job].due.size() ? candidates : order.late).push_back(job);
+    for (std::size_t job : remaining) (level < jobs[job].dueTimes.size() ? candidates : order.late).push_back(job);
     std::stable_sort(candidates.begin(), candidates.end(),
-                     [&](std::size_t a, std::size_t b) { return jobs[a].due[level] < jobs[b].due[level]; });
+                     [&](std::size_t a, std::size_t b) { return jobs[a].dueTimes[level] < jobs[b].dueTimes[level]; });
     for (std::size_t job : candidates) {
-        const double due = jobs[job].due[level];
-        if (jobs[job].leastS > due) {
+        const double due = jobs[job].dueTimes[level];
+        if (jobs[job].minDurationS > due) {
             order.late.push_back(job);
             continue;
         }
@@ -54,7 +54,7 @@
     Indices remaining(jobs.size());
     std::iota(remaining.begin(), remaining.end(), 0);
     std::size_t levels = 0;
-    for (const DueJob& job : jobs) levels = std::max(levels, job.due.size());
+    for (const DueJob& job : jobs) levels = std::max(levels, job.dueTimes.size());
     Indices ordered;
     for (std::size_t level = 0; level < levels; ++level) {
         LevelOrder order = order_level(jobs, remaining, level, capacity, ahead);
--- a/src/placement/overload.hpp
+++ b/src/placement/overload.hpp
@@ -10,9 +10,9 @@
 namespace wellstair::placement {
 
 struct DueJob {
-    double work = 0;          // what it takes of the capacity, in the unit of the capacity
-    double leastS = 0;        // it cannot take less than this, however much it gets
-    std::vector<double> due;  // by when it is wanted, dearest level first; may be past
+    double work = 0;               // what it takes of the capacity, in the unit of the capacity
+    double minDurationS = 0;       // it cannot take less than this, however much it gets
+    std::vector<double> dueTimes;  // by when it is wanted, dearest level first; may be past
 };
 
 // What there is until a moment, for this job: of a team's limit, work that can be done; of machines, room that gets
--- a/src/placement/room.cpp
+++ b/src/placement/room.cpp
@@ -4,12 +4,12 @@
 
 namespace wellstair::placement {
 
-RoomCurve::RoomCurve(const std::vector<Machine>& machines, const Request& request, double now) {
+FreeCapacityCurve::FreeCapacityCurve(const std::vector<Machine>& machines, const Request& request, double now) {
     std::uint32_t fitNow = 0;
     for (const Machine& machine : machines) {
         if (!request.allowed[machine.nodePool] || !request.need.fits(machine.total)) continue;
-        all_ += times(machine.total, request.need);
-        fitNow += times(free_at(machine, now), request.need);
+        all_ += fit_count(machine.total, request.need);
+        fitNow += fit_count(free_at(machine, now), request.need);
         add_machine(machine, request.need, now);
     }
     std::sort(steps_.begin(), steps_.end());
@@ -18,19 +18,19 @@
 }
 
 // Adds a step for each end of a task that makes room, for now with what it adds alone.
-void RoomCurve::add_machine(const Machine& machine, const Need& need, double now) {
-    Need room = free_at(machine, now);
-    std::uint32_t fitBefore = times(room, need);
-    for (const Hold& hold : machine.holds) {
+void FreeCapacityCurve::add_machine(const Machine& machine, const Resources& need, double now) {
+    Resources room = free_at(machine, now);
+    std::uint32_t fitBefore = fit_count(room, need);
+    for (const Allocation& hold : machine.allocations) {
         if (hold.from > now || hold.until <= now) continue;
         room += hold.need;
-        std::uint32_t fitAfter = times(room, need);
+        std::uint32_t fitAfter = fit_count(room, need);
         if (fitAfter > fitBefore) steps_.push_back({hold.until - now, fitAfter - fitBefore});
         fitBefore = fitAfter;
     }
 }
 
-double RoomCurve::within(double seconds) const {
+double FreeCapacityCurve::fraction_free_within(double seconds) const {
     if (seconds < 0 || all_ == 0) return 0;
     auto next = std::upper_bound(steps_.begin(), steps_.end(), seconds,
                                  [](double limit, const Step& step) { return limit < step.afterS; });
--- a/src/placement/scale_out.hpp
+++ b/src/placement/scale_out.hpp
@@ -14,27 +14,27 @@
 struct Offer {
     std::string machineType, zone;
     bool spot = false;
-    Need total;
+    Resources total;
     double rate = 0;       // price, in the cloud's unit
     double startupS = 0;   // seconds from the order until it is ready
     bool refused = false;  // the cloud had none a short while ago
 };
 
 // Tasks of one kind that wait for room.
-struct Want {
-    Need need;  // of each
+struct TaskDemand {
+    Resources need;  // of each
     std::uint32_t count = 0;
     std::vector<bool> allowed;  // by offer
 };
 
 struct ScaleOut {
-    std::size_t offer = 0;     // index into the offers
-    std::uint32_t number = 0;  // machines to rent
+    std::size_t offer = 0;           // index into the offers
+    std::uint32_t machineCount = 0;  // machines to rent
 };
 
 // Cheapest per task first; machines on their way (`pending`, by offer) are filled before new ones are asked for. At
 // most `most` machines in all.
-std::vector<ScaleOut> choose_scale_out(const std::vector<Offer>& offers, const std::vector<Want>& wants,
+std::vector<ScaleOut> choose_scale_out(const std::vector<Offer>& offers, const std::vector<TaskDemand>& wants,
                                        const std::vector<std::uint32_t>& pending, std::uint32_t most);
 
 }  // namespace wellstair::placement
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -107,7 +107,7 @@
 void TaskReconciler::record_running(HostRecord& host, const TaskKey& key, Timestamp now) {
     const Job* job = context_.state().job(key.first);
     if (!job) return;
-    host.cache.ready(job->spec->image, job->spec->imageGb, now.wall);
+    host.cache.mark_cached(job->spec->image, job->spec->imageGb, now.wall);
     spdlog::debug("task {}/{} of {} runs on {}, {:.1f} s after its submission", key.first, key.second, job->spec->team,
                   host.name, now.wall - static_cast<double>(job->atS));
 }
--- a/src/scheduling/demand_history.cpp
+++ b/src/scheduling/demand_history.cpp
@@ -4,7 +4,7 @@
 
 namespace wellstair::scheduling {
 
-using placement::Need;
+using placement::Resources;
 
 namespace {
 
@@ -51,8 +51,8 @@
     std::erase_if(needs_, [&](const auto& entry) { return now.steady - entry.second.lastSeenS > keptS; });
 }
 
-Need DemandHistory::need_above(const std::string& team, int priority) const {
-    Need sum;
+Resources DemandHistory::need_above(const std::string& team, int priority) const {
+    Resources sum;
     for (const auto& [key, need] : needs_)
         if (key.first == team && key.second < priority) sum.cores += need.cores, sum.gpus += need.gpus;
     return sum;
--- a/src/scheduling/demand_history.hpp
+++ b/src/scheduling/demand_history.hpp
@@ -42,7 +42,7 @@
     // Seconds for which arrivals are counted.
     double window_s() const;
     // Cores and GPUs that the team's next jobs of all priorities above this one take, one job of each.
-    placement::Need need_above(const std::string& team, int priority) const;
+    placement::Resources need_above(const std::string& team, int priority) const;
 
   private:
     using TeamPriority = std::pair<std::string, int>;  // a lower number is a higher priority
--- a/src/scheduling/duration_estimates.hpp
+++ b/src/scheduling/duration_estimates.hpp
@@ -10,7 +10,7 @@
 
 // For placement: seconds for which a task holds its resources.
 inline double occupied_s(const wire::JobSpec& spec) {
-    return spec.service() ? placement::kEndlessS : spec.estimatedDurationS;
+    return spec.service() ? placement::kUnboundedDurationS : spec.estimatedDurationS;
 }
 
 // For the order under overload: leases for which the resources of a service's replica count as used. Other work waits
--- a/src/scheduling/job_needs.hpp
+++ b/src/scheduling/job_needs.hpp
@@ -10,12 +10,12 @@
 namespace wellstair::scheduling {
 
 // What one task takes.
-inline placement::Need need_of(const wire::JobSpec& spec) {
+inline placement::Resources need_of(const wire::JobSpec& spec) {
     return {spec.cores, spec.gpus, spec.ramGb};
 }
 
 // What one task takes of its team's limit, which counts cores and GPUs alone.
-inline placement::Need quota_need_of(const wire::JobSpec& spec) {
+inline placement::Resources quota_need_of(const wire::JobSpec& spec) {
     return {spec.cores, spec.gpus, 0};
 }
 
--- a/src/scheduling/placement_model.cpp
+++ b/src/scheduling/placement_model.cpp
@@ -39,7 +39,7 @@
 placement::Weights PlacementModel::weights(std::size_t machines) const {
     const double intervalS = context_.settings().heartbeatIntervalS;
     placement::Weights weights;
-    weights.w = options_.leaWeight > 0 ? options_.leaWeight : static_cast<double>(machines);
+    weights.loadOverheadWeight = options_.leaWeight > 0 ? options_.leaWeight : static_cast<double>(machines);
     weights.gpuHostPenaltyS = intervalS / kGpuHostPenaltyDivisor;
     weights.emptyHostPenaltyS = intervalS / kEmptyHostPenaltyDivisor;
     weights.sameHostPenaltyS = kSameHostPenaltyIntervals * intervalS;
@@ -89,14 +89,14 @@
     // Where two controllers see the image caches differently, each would leave a task to the other's host. A slight
     // preference for one's own hosts makes both act instead, and the state service lets one of them win.
     if (!ledHere) machine.penaltyS = context_.settings().heartbeatIntervalS / kPeerHostPenaltyDivisor;
-    machine.holds.reserve(host.placed.size() + kSpareHolds);
+    machine.allocations.reserve(host.placed.size() + kSpareHolds);
     const HostTracker* tracker = ledHere ? hosts_.find(host.name) : nullptr;
-    for (const TaskRef& ref : host.placed) machine.holds.push_back(hold_of(ref, machine, tracker, now));
+    for (const TaskRef& ref : host.placed) machine.allocations.push_back(hold_of(ref, machine, tracker, now));
     return machine;
 }
 
-placement::Hold PlacementModel::hold_of(const TaskRef& ref, const Machine& machine, const HostTracker* tracker,
-                                        Timestamp now) const {
+placement::Allocation PlacementModel::hold_of(const TaskRef& ref, const Machine& machine, const HostTracker* tracker,
+                                              Timestamp now) const {
     const wire::JobSpec& spec = *ref.job->spec;
     const double intervalS = context_.settings().heartbeatIntervalS;
     const Task task = ref.job->task(ref.index, context_.state().chunk_size());
@@ -117,7 +117,7 @@
     request.antiAffine = spec.service() && spec.taskCount > 1;
     request.coLocated = spec.coLocated;
     request.spread = spec.spread;
-    request.spreadCap = (spec.taskCount + 1) / 2;
+    request.maxTasksPerZone = (spec.taskCount + 1) / 2;
     request.allowed.reserve(nodePools_.size());
     for (const NodePool& pool : nodePools_)
         request.allowed.push_back(allows(spec, pool.machineType, pool.zone, pool.spot));
--- a/src/scheduling/plan_builder.cpp
+++ b/src/scheduling/plan_builder.cpp
@@ -9,8 +9,8 @@
 
 namespace wellstair::scheduling {
 
-using placement::Need;
 using placement::Request;
+using placement::Resources;
 using placement::Slot;
 using state::HostRecord;
 using state::Job;
@@ -69,8 +69,8 @@
         const state::Use used = record == records.end() ? state::Use{} : record->second.total;
         const double cores = used.cores / 1000.0;
         const double gpus = used.gpus / 1000.0;
-        const Need room{team.cpusMax > 0 ? team.cpusMax - cores : kUnlimited,
-                        team.gpusMax > 0 ? team.gpusMax - gpus : kUnlimited, kUnlimited};
+        const Resources room{team.cpusMax > 0 ? team.cpusMax - cores : kUnlimited,
+                             team.gpusMax > 0 ? team.gpusMax - gpus : kUnlimited, kUnlimited};
         teamRoom_[team.name] = {room, room};
     }
 }
@@ -91,9 +91,9 @@
     const Request request = inputs_.model.probe(jobClass.last, static_cast<std::uint32_t>(std::min(soon, most)));
     std::map<std::size_t, std::uint32_t> tasks;  // by machine
     for (const Slot& slot : planner_.place_batch(request, true)) ++tasks[slot.machine];
-    const Need one = need_of(jobClass.last);
+    const Resources one = need_of(jobClass.last);
     for (const auto& [machine, number] : tasks) {
-        Need free = placement::free_at(planner_.machines()[machine], now_.wall);
+        Resources free = placement::free_at(planner_.machines()[machine], now_.wall);
         for (std::uint32_t k = 0; k < number; ++k) free += one;
         keptRoom_.push_back({planner_.machines()[machine].nodePool, free});
     }
@@ -114,7 +114,7 @@
     Request request = request_for(job);
     request.count = gang ? spec.taskCount : static_cast<std::uint32_t>(openTasks_.size());
     if (request.count == 0) return;
-    const bool startOnly = planner_.looked() > kPromiseLooks && !queued.aged;
+    const bool startOnly = planner_.machines_examined() > kPromiseLooks && !queued.aged;
     const Started started =
         record_starts(job, gang ? planner_.place_gang(request, startOnly) : planner_.place_batch(request, startOnly));
     room.left = {room.left.cores - started.tasks * spec.cores, room.left.gpus - started.tasks * spec.gpus,
@@ -151,21 +151,21 @@
     return static_cast<double>(job.atS) + kFirstTurnS + afterS;
 }
 
-Need PlanBuilder::need_kept_from(const QueuedJob& queued) const {
+Resources PlanBuilder::need_kept_from(const QueuedJob& queued) const {
     if (queued.aged || inputs_.heldBack.too_long(queued.job->id, now_)) return {};
     return inputs_.demand.need_above(queued.job->spec->team, queued.priority);
 }
 
 PlanBuilder::TaskRange PlanBuilder::startable_tasks(const QueuedJob& queued, const TeamRoom& room) const {
     const wire::JobSpec& spec = *queued.job->spec;
-    const std::uint32_t fit = placement::times(room.left - need_kept_from(queued), quota_need_of(spec));
+    const std::uint32_t fit = placement::fit_count(room.left - need_kept_from(queued), quota_need_of(spec));
     if (queued.job->wide_gang()) return {spec.taskCount, fit < spec.taskCount ? 0 : spec.taskCount};
     return {1, std::min(fit, kMostTasksOfJob)};
 }
 
 bool PlanBuilder::held_back_by_team(const Job& job, const TeamRoom& room, std::uint32_t least) {
     if (begun(job) || !room.beforePlan) return false;
-    return placement::times(*room.beforePlan, quota_need_of(*job.spec)) >= least;
+    return placement::fit_count(*room.beforePlan, quota_need_of(*job.spec)) >= least;
 }
 
 void PlanBuilder::collect_open_tasks(const Job& job, std::uint32_t most) {
@@ -183,7 +183,7 @@
 
 Request PlanBuilder::request_for(const Job& job) const {
     Request request = inputs_.model.request_of(job);
-    if (request.antiAffine) request.onMachines = machines_of(job);
+    if (request.antiAffine) request.replicaMachines = machines_of(job);
     return request;
 }
 
--- a/src/scheduling/plan_builder.hpp
+++ b/src/scheduling/plan_builder.hpp
@@ -29,13 +29,13 @@
   private:
     // Of a team: what it may still use below its limit.
     struct TeamRoom {
-        placement::Need left;
-        std::optional<placement::Need> beforePlan;  // unset: a team without settings
+        placement::Resources left;
+        std::optional<placement::Resources> beforePlan;  // unset: a team without settings
     };
     // Room that was left for a job class, and what was free there in all.
     struct KeptRoom {
         std::uint32_t nodePool = 0;
-        placement::Need free;
+        placement::Resources free;
     };
     // How many tasks of a job are to be placed; none if `most` is below `least`.
     struct TaskRange {
@@ -63,7 +63,7 @@
     double turn_s(const state::Job& job) const;
     // Up to its team's limit, a job leaves room for the next job of each higher priority that the team has had of late:
     // that one would otherwise wait for the end of a task in spite of its priority.
-    placement::Need need_kept_from(const QueuedJob& queued) const;
+    placement::Resources need_kept_from(const QueuedJob& queued) const;
     TaskRange startable_tasks(const QueuedJob& queued, const TeamRoom& room) const;
     // The team's limit would leave room for the job if no room were kept for higher priorities.
     static bool held_back_by_team(const state::Job& job, const TeamRoom& room, std::uint32_t least);
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -10,7 +10,7 @@
 namespace wellstair::scheduling {
 
 using placement::Machine;
-using placement::Need;
+using placement::Resources;
 using state::HostRecord;
 using state::TaskRef;
 using workers::HostTracker;
@@ -86,7 +86,7 @@
 }
 
 std::vector<Preemption::Place> Preemption::candidate_places(const Pass& pass, const UnmetDemand& unmet) const {
-    const Need need = need_of(*unmet.job->spec);
+    const Resources need = need_of(*unmet.job->spec);
     const placement::Request request = model_.request_of(*unmet.job);
     std::vector<Place> places;
     std::vector<Victim> victims;
@@ -105,11 +105,11 @@
     const wire::JobSpec& spec = *unmet.job->spec;
     const Machine& machine = pass.plan.machines[machineIndex];
     const bool gang = unmet.job->wide_gang();
-    const Need need = need_of(spec);
+    const Resources need = need_of(spec);
     // Without victims, only a gang has a use for what is free: its other places may take victims.
     if (victims.empty() && !gang) return;
-    Need free = placement::free_at(machine, pass.now.wall);
-    if (victims.empty() && !placement::times(free, need)) return;
+    Resources free = placement::free_at(machine, pass.now.wall);
+    if (victims.empty() && !placement::fit_count(free, need)) return;
     const double cachedAt = machine.cache ? machine.cache->ready_at(spec.image, pass.now.wall) : -1;
     const double fetchS = cachedAt < 0 ? spec.imageGb / machine.fetchGbPerS : std::max(0.0, cachedAt - pass.now.wall);
     std::size_t next = 0;
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -12,8 +12,8 @@
 namespace wellstair::scheduling {
 
 using placement::DueJob;
+using placement::FreeCapacityCurve;
 using placement::Machine;
-using placement::RoomCurve;
 using state::Job;
 using state::JobState;
 using state::Task;
@@ -26,7 +26,7 @@
 constexpr double kLeastRemainingDivisor = 5;
 
 // Room by job class: the jobs of a class are mostly of one shape.
-using RoomByClass = std::map<std::string, RoomCurve>;
+using RoomByClass = std::map<std::string, FreeCapacityCurve>;
 
 // Puts what stands at these places of the queue into this order.
 void rearrange(std::vector<QueuedJob>& queue, const std::vector<std::size_t>& places,
@@ -113,7 +113,7 @@
     double ahead = 0;  // what jobs of earlier groups take of all machines
     for (std::size_t first = 0, last; first < queue.size(); first = last) {
         std::vector<DueJob> jobs;
-        std::vector<const RoomCurve*> room;
+        std::vector<const FreeCapacityCurve*> room;
         std::vector<std::size_t> places;
         double wanted = ahead;
         bool lacking = false;
@@ -122,22 +122,24 @@
             const wire::JobSpec& spec = *queued.job->spec;
             auto at = rooms.find(spec.jobClass);
             if (at == rooms.end())
-                at = rooms.try_emplace(spec.jobClass, RoomCurve(machines, model_.request_of(*queued.job), now.wall))
+                at = rooms
+                         .try_emplace(spec.jobClass,
+                                      FreeCapacityCurve(machines, model_.request_of(*queued.job), now.wall))
                          .first;
-            const RoomCurve& curve = at->second;
+            const FreeCapacityCurve& curve = at->second;
             room.push_back(&curve);
             places.push_back(last);
-            queued.share = curve.all() ? static_cast<double>(queued.job->open()) / curve.all() : 0;
+            queued.share = curve.total_tasks() ? static_cast<double>(queued.job->open()) / curve.total_tasks() : 0;
             const double waitedS = now.wall - static_cast<double>(queued.job->atS);
             DueJob due{queued.share, 0, due_times(spec, queued.overQuota)};
-            for (double& dueS : due.due) dueS -= spec.estimatedDurationS + waitedS;  // to start by
-            due.due.push_back(JobAgeing::kGangLeases * context_.settings().leaseS - waitedS);
+            for (double& dueS : due.dueTimes) dueS -= spec.estimatedDurationS + waitedS;  // to start by
+            due.dueTimes.push_back(JobAgeing::kGangLeases * context_.settings().leaseS - waitedS);
             jobs.push_back(std::move(due));
             wanted += queued.share;
-            lacking = lacking || wanted > curve.within(0);
+            lacking = lacking || wanted > curve.fraction_free_within(0);
         }
         if (lacking && jobs.size() > 1) {
-            const auto capacity = [&](std::size_t job, double dueS) { return room[job]->within(dueS); };
+            const auto capacity = [&](std::size_t job, double dueS) { return room[job]->fraction_free_within(dueS); };
             rearrange(queue, places, placement::order_by_due(jobs, capacity, ahead));
         }
         ahead = wanted;
@@ -168,7 +170,7 @@
         const double perTask = byGpu ? spec.gpus : spec.cores;
         wanted += perTask * (spec.taskCount - job.done);
         DueJob due{remaining_s(job, now) * perTask, spec.estimatedDurationS, due_times(spec, queue[place].overQuota)};
-        for (double& dueS : due.due) dueS -= now.wall - job.atS;
+        for (double& dueS : due.dueTimes) dueS -= now.wall - job.atS;
         jobs.push_back(std::move(due));
     }
     if (limit <= 0 || wanted <= limit) return;
--- a/src/state/state_cache_tasks.cpp
+++ b/src/state/state_cache_tasks.cpp
@@ -78,8 +78,8 @@
     }
     if (next.host && before.host != next.host) {
         next.host->placed.push_back({&job, index});
-        next.host->cache.fetch(job.spec->image, job.spec->imageGb, wallS,
-                               next.atS + job.spec->imageGb / fetch_rate(next.host->machineType));
+        next.host->cache.begin_fetch(job.spec->image, job.spec->imageGb, wallS,
+                                     next.atS + job.spec->imageGb / fetch_rate(next.host->machineType));
     }
     if (task.state != next.state) task.state.become(next.state);
     task.attempt = next.attempt;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -27,9 +27,9 @@
         }
     }
     // A task on machine `i` from the start on.
-    void run(int i, double until, Need need = {8, 0, 8}) {
+    void run(int i, double until, Resources need = {8, 0, 8}) {
         machines[i].busy = true;
-        machines[i].holds.push_back({0, until, need});
+        machines[i].allocations.push_back({0, until, need});
     }
 };
 
@@ -47,7 +47,7 @@
 // PAPER, algorithm 5: with an idle machine left, the earliest image-ready time decides.
 TEST(Lem, WithAnIdleMachineTheImageReadyFirstWins) {
     Site site(2);
-    site.caches[1].ready("img", 1, 0);
+    site.caches[1].mark_cached("img", 1, 0);
     Planner planner(100, site.machines, {});
     EXPECT_EQ(planner.place_batch(request(2), false)[0].machine, 1u);
 }
@@ -55,7 +55,7 @@
 // A fetch under way counts with its end, not as a whole fetch.
 TEST(Lem, AFetchUnderWayCountsWithItsEnd) {
     Site site(2);
-    site.caches[1].fetch("img", 1, 95, 103);
+    site.caches[1].begin_fetch("img", 1, 95, 103);
     Planner planner(100, site.machines, {});
     EXPECT_EQ(planner.place_batch(request(2), false)[0].machine, 1u);
 }
@@ -64,12 +64,12 @@
 TEST(Lem, SaturatedWeightDecidesBetweenWaitingAndFetching) {
     for (auto [w, machine] : {std::pair(1.0, 0u), std::pair(10.0, 1u)}) {
         Site site(2);
-        site.caches[1].ready("img", 1, 0);
+        site.caches[1].mark_cached("img", 1, 0);
         site.run(0, 200, {1, 0, 1});  // runs something, has room, lacks the image: 10 s to fetch
         site.machines[0].total = {9, 0, 32};
         site.run(1, 130);  // warm, free in 30 s
         Weights weights;
-        weights.w = w;
+        weights.loadOverheadWeight = w;
         Planner planner(100, site.machines, weights);
         auto slots = planner.place_batch(request(2), false);
         EXPECT_EQ(slots[0].machine, machine) << w;
@@ -92,7 +92,7 @@
 
 TEST(Lem, EvictionPenaltyBreaksTheTie) {
     Site site(2);
-    site.caches[0].ready("old", 8, 0);
+    site.caches[0].mark_cached("old", 8, 0);
     site.run(0, 200, {1, 0, 1});
     site.run(1, 200, {1, 0, 1});
     for (auto& machine : site.machines) machine.total = {9, 0, 32};
@@ -119,7 +119,7 @@
     ASSERT_EQ(slots.size(), 2u);
     EXPECT_EQ(site.machines[slots[0].machine].zone, site.machines[slots[1].machine].zone);
     Request spread = request(4, 3);
-    spread.spread = true, spread.spreadCap = 2;
+    spread.spread = true, spread.maxTasksPerZone = 2;
     slots = Planner(100, site.machines, {}).place_gang(spread, true);
     ASSERT_EQ(slots.size(), 3u);
     int inA = 0;
@@ -130,13 +130,13 @@
 
 TEST(Cache, LeastRecentlyUsedGoesFirstAndUnfinishedFetchesAreGivenUp) {
     ImageCache cache(10);
-    cache.ready("a", 4, 1);
-    cache.ready("b", 4, 2);
-    cache.ready("a", 4, 3);
-    cache.ready("d", 4, 4);
+    cache.mark_cached("a", 4, 1);
+    cache.mark_cached("b", 4, 2);
+    cache.mark_cached("a", 4, 3);
+    cache.mark_cached("d", 4, 4);
     EXPECT_LT(cache.ready_at("b", 5), 0);
     EXPECT_EQ(cache.ready_at("a", 5), 5);
-    cache.fetch("e", 1, 5, 20);
+    cache.begin_fetch("e", 1, 5, 20);
     EXPECT_EQ(cache.ready_at("e", 6), 20);
     cache.release("e", 7);
     EXPECT_LT(cache.ready_at("e", 8), 0);
@@ -158,18 +158,18 @@
     std::vector<Machine> machines(4);
     for (std::size_t i = 0; i < machines.size(); ++i) {
         machines[i].total = {16, 0, 64};
-        machines[i].holds = {{0, 10.0 * (i + 1), {15, 0, 26}}};  // one gets free every 10 s
+        machines[i].allocations = {{0, 10.0 * (i + 1), {15, 0, 26}}};  // one gets free every 10 s
     }
     Request kind;
     kind.need = {15, 0, 26}, kind.allowed = {true};
-    RoomCurve room(machines, kind, 0);
-    EXPECT_EQ(room.all(), 4u);
-    EXPECT_EQ(room.within(9), 0);
-    EXPECT_EQ(room.within(10), 0.25);
-    EXPECT_EQ(room.within(100), 1);
-    EXPECT_EQ(room.within(-1), 0);
+    FreeCapacityCurve room(machines, kind, 0);
+    EXPECT_EQ(room.total_tasks(), 4u);
+    EXPECT_EQ(room.fraction_free_within(9), 0);
+    EXPECT_EQ(room.fraction_free_within(10), 0.25);
+    EXPECT_EQ(room.fraction_free_within(100), 1);
+    EXPECT_EQ(room.fraction_free_within(-1), 0);
     std::vector<DueJob> jobs = {{0.75, 0, {25, 200}}, {0.25, 0, {25, 200}}, {0.25, 0, {25, 200}}, {0.25, 0, {-5}}};
-    auto by = [&](std::size_t, double due) { return room.within(due); };
+    auto by = [&](std::size_t, double due) { return room.fraction_free_within(due); };
     EXPECT_EQ(order_by_due(jobs, by), (std::vector<std::size_t>{1, 2, 0, 3}));
     // Others that go before all of these leave them less.
     EXPECT_EQ(order_by_due(jobs, by, 0.25), (std::vector<std::size_t>{1, 2, 0, 3}));
@@ -179,11 +179,11 @@
     std::vector<Offer> offers(2);
     offers[0].total = {8, 0, 32}, offers[0].rate = 1;
     offers[1].total = {64, 0, 256}, offers[1].rate = 4;
-    Want want{{8, 0, 8}, 9, {true, true}};
+    TaskDemand want{{8, 0, 8}, 9, {true, true}};
     auto chosen = choose_scale_out(offers, {want}, {0, 0}, 20);
     ASSERT_EQ(chosen.size(), 2u);
-    EXPECT_EQ(chosen[0].number, 1u);
-    EXPECT_EQ(chosen[1].number, 1u);
+    EXPECT_EQ(chosen[0].machineCount, 1u);
+    EXPECT_EQ(chosen[1].machineCount, 1u);
     EXPECT_TRUE(choose_scale_out(offers, {want}, {1, 1}, 20).empty());
     offers[0].refused = offers[1].refused = true;
     EXPECT_TRUE(choose_scale_out(offers, {want}, {0, 0}, 20).empty());
@@ -193,9 +193,9 @@
 // room.
 TEST(Lem, AGangGoesToTheZoneWhereItsLastMachineIsReadyFirst) {
     Site site(4);  // zone 0: machines 0 and 2, zone 1: machines 1 and 3
-    site.caches[0].ready("img", 1, 0);
-    site.caches[1].ready("img", 1, 0);
-    site.caches[3].ready("img", 1, 0);
+    site.caches[0].mark_cached("img", 1, 0);
+    site.caches[1].mark_cached("img", 1, 0);
+    site.caches[3].mark_cached("img", 1, 0);
     Planner planner(100, site.machines, {});
     Request gang = request(4, 2);
     gang.coLocated = true;
@@ -211,9 +211,9 @@
         Site site(2);
         site.run(1, 200, {2, 0, 2});
         if (warmEmpty)
-            site.caches[0].ready("img", 1, 0);
+            site.caches[0].mark_cached("img", 1, 0);
         else
-            for (auto& cache : site.caches) cache.ready("img", 1, 0);
+            for (auto& cache : site.caches) cache.mark_cached("img", 1, 0);
         Weights weights;
         weights.emptyHostPenaltyS = 2;
         Planner planner(100, site.machines, weights);
@@ -228,13 +228,13 @@
 TEST(Lem, ALongQueueBehindFullMachinesLooksAtNone) {
     Site site(1000);
     for (int i = 0; i < 1000; ++i) site.run(i, 200);
-    site.machines[7].holds.clear();
+    site.machines[7].allocations.clear();
     Planner planner(100, site.machines, {});
     EXPECT_EQ(planner.place_batch(request(1), true).size(), 1u);
-    auto first = planner.looked();
+    auto first = planner.machines_examined();
     EXPECT_LE(first, 1100u);
     for (int job = 0; job < 500; ++job) EXPECT_TRUE(planner.place_batch(request(1), true).empty());
-    EXPECT_LE(planner.looked() - first, 1100u);
+    EXPECT_LE(planner.machines_examined() - first, 1100u);
 }
 
 }  // namespace
