--- a/src/placement/cache.cpp
+++ b/src/placement/cache.cpp
@@ -42,7 +42,7 @@
 
 double ImageCache::ready_at(const std::string& image, double now) const {
     auto it = images_.find(image);
-    return it == images_.end() ? -1 : std::max(now, it->second.readyAt);
+    return it == images_.end() ? kNotCached : std::max(now, it->second.readyAt);
 }
 
 void ImageCache::evict() {
--- a/src/placement/lem_gang.cpp
+++ b/src/placement/lem_gang.cpp
@@ -1,4 +1,4 @@
-// The part of the planner that places gangs: tasks that start all at one time or not at all.
+// Gang scheduling: places tasks that start all at the same time or not at all.
 #include <algorithm>
 
 #include "placement/lem.hpp"
@@ -6,30 +6,32 @@
 namespace wellstair::placement {
 namespace {
 
-// Starts of a gang that are tried, spread over the ends of holds, so that a long queue does not cost a long search.
+// Approximate number of start times tried for a gang, spread over the ends of allocations. Bounds the search for long
+// queues.
 constexpr std::size_t kMaxGangStarts = 24;
 
-Resources least(const Resources& a, const Resources& b) {
+Resources min_of(const Resources& a, const Resources& b) {
     return {std::min(a.cores, b.cores), std::min(a.gpus, b.gpus), std::min(a.ramGb, b.ramGb)};
 }
 
-// What is free at `at` and stays so, whatever begins later, for `length` seconds.
+// The resources that are free from `at` on for `length` seconds, despite allocations that begin meanwhile.
 Resources free_from(const Machine& machine, double at, double length) {
     Resources free = free_at(machine, at);
-    for (const Allocation& hold : machine.allocations)
-        if (hold.from > at && hold.from < at + length) free = least(free, free_at(machine, hold.from));
+    for (const Allocation& allocation : machine.allocations)
+        if (allocation.from > at && allocation.from < at + length)
+            free = min_of(free, free_at(machine, allocation.from));
     return free;
 }
 
 }  // namespace
 
-// Tasks of the request that the machine can hold from `at` on, for as long as they take.
+// Number of tasks of the request that fit on the machine from `at` on, for their estimated duration.
 std::uint32_t Planner::capacity(std::size_t machine, const Request& request, double at) const {
-    if (at <= now_ && !promised_[machine]) return fit_count(free_[machine], request.need);
+    if (at <= now_ && !hasFutureAllocations_[machine]) return fit_count(free_[machine], request.need);
     return fit_count(free_from(machines_[machine], at, request.estimatedDurationS), request.need);
 }
 
-// The machines with room at that time, lowest score first; none if they have no room for all tasks together.
+// The machines with free capacity at that time, lowest score first; empty if not all tasks fit on them.
 std::vector<Planner::GangCandidate> Planner::gang_candidates(const Request& request, const MachineList& among,
                                                              double at) const {
     std::vector<GangCandidate> candidates;
@@ -41,10 +43,10 @@
         total += tasks;
     }
     if (total < request.count) return {};
-    const bool full = saturated();
+    const bool isSaturated = saturated();
     for (GangCandidate& candidate : candidates) {
         const Machine& machine = machines_[candidate.machine];
-        candidate.score = score(machine, request, at, cached_at(machine, request.image), full);
+        candidate.score = score(machine, request, at, image_ready_at(machine, request.image), isSaturated);
     }
     std::stable_sort(candidates.begin(), candidates.end(),
                      [](const GangCandidate& a, const GangCandidate& b) { return a.score < b.score; });
@@ -53,8 +55,8 @@
 
 std::optional<Planner::GangPlacement> Planner::gang_in_group(const Request& request, const MachineList& among,
                                                              double at) {
-    looked_ += among.size();
-    Request remaining = request;  // with the tasks placed so far
+    machinesExamined_ += among.size();
+    Request remaining = request;  // updated with the tasks placed so far
     GangPlacement placement;
     for (const GangCandidate& candidate : gang_candidates(request, among, at)) {
         std::uint32_t zone = machines_[candidate.machine].zone;
@@ -69,10 +71,10 @@
     return placement;
 }
 
-// The machines among which a gang is placed: of one zone each if its tasks have to be in one zone, in the order in
-// which zones first appear; else all of them.
-std::vector<Planner::MachineList> Planner::gang_groups(const Request& request, bool startOnly) {
-    MachineList all = machines_for(request, startOnly);
+// Groups of machines, within one of which the gang is placed: one group for each zone if the tasks must be co-located,
+// in the order in which zones first appear; otherwise all machines in a single group.
+std::vector<Planner::MachineList> Planner::gang_groups(const Request& request, bool startNowOnly) {
+    MachineList all = machines_for(request, startNowOnly);
     if (!request.coLocated || request.count == 1) return {std::move(all)};
     std::vector<MachineList> groups;
     std::vector<std::uint32_t> zones;  // by group
@@ -88,7 +90,7 @@
     return groups;
 }
 
-// The group where the last of the gang's machines is ready first is taken.
+// Chooses the group where the last machine of the gang is ready earliest.
 std::vector<Slot> Planner::place_gang_at(const Request& request, const std::vector<MachineList>& groups, double at) {
     std::optional<GangPlacement> best;
     for (const MachineList& group : groups) {
@@ -96,27 +98,28 @@
         if (placement && (!best || placement->score < best->score)) best = std::move(placement);
     }
     if (!best) return {};
-    for (const Slot& slot : best->slots) hold(slot.machine, at, request);
+    for (const Slot& slot : best->slots) allocate(slot.machine, at, request);
     return best->slots;
 }
 
-// When resources of these machines get free, rising, each time once.
-std::vector<double> Planner::ends_of_holds(const std::vector<MachineList>& groups) const {
+// The distinct times at which resources of these machines become free, ascending. Leaves out tasks without a known end.
+std::vector<double> Planner::allocation_ends(const std::vector<MachineList>& groups) const {
     std::vector<double> ends;
     for (const MachineList& group : groups)
         for (std::size_t machine : group)
-            for (const Allocation& hold : machines_[machine].allocations)
-                if (hold.until > now_ && hold.until - now_ < kUnboundedDurationS / 2) ends.push_back(hold.until);
+            for (const Allocation& allocation : machines_[machine].allocations)
+                if (allocation.until > now_ && allocation.until - now_ < kUnboundedDurationS / 2)
+                    ends.push_back(allocation.until);
     std::sort(ends.begin(), ends.end());
     ends.erase(std::unique(ends.begin(), ends.end()), ends.end());
     return ends;
 }
 
-std::vector<Slot> Planner::place_gang(const Request& request, bool startOnly) {
+std::vector<Slot> Planner::place_gang(const Request& request, bool startNowOnly) {
     auto slots = place_gang_at(request, gang_groups(request, true), now_);
-    if (!slots.empty() || startOnly) return slots;
+    if (!slots.empty() || startNowOnly) return slots;
     const std::vector<MachineList> groups = gang_groups(request, false);
-    const std::vector<double> starts = ends_of_holds(groups);
+    const std::vector<double> starts = allocation_ends(groups);
     const std::size_t stride = std::max<std::size_t>(1, starts.size() / kMaxGangStarts);
     for (std::size_t i = 0; i < starts.size(); i += stride) {
         slots = place_gang_at(request, groups, starts[i]);
--- a/src/placement/overload.cpp
+++ b/src/placement/overload.cpp
@@ -8,20 +8,20 @@
 
 using Indices = std::vector<std::size_t>;
 
-// The job with the most work; of equals the last one.
+// The job with the most work; the last one of equals.
 Indices::iterator most_work(const std::vector<DueJob>& jobs, Indices& among) {
     auto lessWork = [&](std::size_t a, std::size_t b) { return jobs[a].work < jobs[b].work; };
     return std::prev(std::max_element(among.rbegin(), among.rend(), lessWork).base());
 }
 
-// What one level of due times has decided.
+// Result of ordering by one level of due times.
 struct LevelOrder {
-    Indices inTime;   // in the order of their due times
-    Indices late;     // left to the next level
-    double work = 0;  // of those in time, and of those before the level
+    Indices inTime;   // sorted by due time
+    Indices late;     // deferred to the next level
+    double work = 0;  // of the jobs in time, plus `ahead`
 };
 
-// `remaining`: the jobs that no level before has taken in; `ahead`: the work of those that were.
+// `remaining`: the jobs that earlier levels have deferred; `ahead`: the work of the jobs that precede them.
 LevelOrder order_level(const std::vector<DueJob>& jobs, const Indices& remaining, std::size_t level,
                        const Capacity& capacity, double ahead) {
     LevelOrder order;
@@ -39,10 +39,10 @@
         order.inTime.push_back(job);
         order.work += jobs[job].work;
         if (order.work <= capacity(job, due)) continue;
-        auto victim = most_work(jobs, order.inTime);
-        order.work -= jobs[*victim].work;
-        order.late.push_back(*victim);
-        order.inTime.erase(victim);
+        auto deferred = most_work(jobs, order.inTime);
+        order.work -= jobs[*deferred].work;
+        order.late.push_back(*deferred);
+        order.inTime.erase(deferred);
     }
     std::sort(order.late.begin(), order.late.end());
     return order;
--- a/src/placement/room.cpp
+++ b/src/placement/room.cpp
@@ -8,7 +8,7 @@
     std::uint32_t fitNow = 0;
     for (const Machine& machine : machines) {
         if (!request.allowed[machine.nodePool] || !request.need.fits(machine.total)) continue;
-        all_ += fit_count(machine.total, request.need);
+        totalTasks_ += fit_count(machine.total, request.need);
         fitNow += fit_count(free_at(machine, now), request.need);
         add_machine(machine, request.need, now);
     }
@@ -17,24 +17,25 @@
     for (std::size_t i = 1; i < steps_.size(); ++i) steps_[i].tasks += steps_[i - 1].tasks;
 }
 
-// Adds a step for each end of a task that makes room, for now with what it adds alone.
+// Adds a step for each end of a task that increases the capacity. The steps are increments until the constructor sums
+// them up.
 void FreeCapacityCurve::add_machine(const Machine& machine, const Resources& need, double now) {
-    Resources room = free_at(machine, now);
-    std::uint32_t fitBefore = fit_count(room, need);
-    for (const Allocation& hold : machine.allocations) {
-        if (hold.from > now || hold.until <= now) continue;
-        room += hold.need;
-        std::uint32_t fitAfter = fit_count(room, need);
-        if (fitAfter > fitBefore) steps_.push_back({hold.until - now, fitAfter - fitBefore});
+    Resources available = free_at(machine, now);
+    std::uint32_t fitBefore = fit_count(available, need);
+    for (const Allocation& allocation : machine.allocations) {
+        if (allocation.from > now || allocation.until <= now) continue;
+        available += allocation.need;
+        std::uint32_t fitAfter = fit_count(available, need);
+        if (fitAfter > fitBefore) steps_.push_back({allocation.until - now, fitAfter - fitBefore});
         fitBefore = fitAfter;
     }
 }
 
 double FreeCapacityCurve::fraction_free_within(double seconds) const {
-    if (seconds < 0 || all_ == 0) return 0;
+    if (seconds < 0 || totalTasks_ == 0) return 0;
     auto next = std::upper_bound(steps_.begin(), steps_.end(), seconds,
                                  [](double limit, const Step& step) { return limit < step.afterS; });
-    return static_cast<double>(std::prev(next)->tasks) / all_;
+    return static_cast<double>(std::prev(next)->tasks) / totalTasks_;
 }
 
 }  // namespace wellstair::placement
--- a/src/placement/scale_out.cpp
+++ b/src/placement/scale_out.cpp
@@ -7,10 +7,10 @@
 namespace wellstair::placement {
 namespace {
 
-// A machine that is to come, with what is left of it.
+// A machine that was ordered or is chosen now, with its remaining resources.
 struct Bin {
     std::size_t offer;
-    Resources room;
+    Resources available;
 };
 
 std::vector<Bin> pending_bins(const std::vector<Offer>& offers, const std::vector<std::uint32_t>& pending) {
@@ -20,26 +20,27 @@
     return bins;
 }
 
-// Puts as many of the tasks into the bin as it holds; returns how many are left.
+// Places as many of the tasks into the bin as fit; returns the number of tasks left.
 std::uint32_t fill(Bin& bin, const Resources& need, std::uint32_t tasks) {
-    while (tasks > 0 && need.fits(bin.room)) {
-        bin.room = bin.room - need;
+    while (tasks > 0 && need.fits(bin.available)) {
+        bin.available = bin.available - need;
         --tasks;
     }
     return tasks;
 }
 
-// The offer with the lowest price per task, the first of equals; a machine counts with no more tasks than there are.
-std::optional<std::size_t> cheapest_offer(const std::vector<Offer>& offers, const TaskDemand& want,
+// The offer with the lowest price per task, the first of equals. The price of a machine is divided by the tasks that it
+// would run, at most `tasks`.
+std::optional<std::size_t> cheapest_offer(const std::vector<Offer>& offers, const TaskDemand& demand,
                                           std::uint32_t tasks) {
     std::optional<std::size_t> cheapest;
     double lowestPrice = std::numeric_limits<double>::infinity();
     for (std::size_t i = 0; i < offers.size(); ++i) {
         const Offer& offer = offers[i];
-        if (offer.refused || !want.allowed[i]) continue;
-        std::uint32_t fitting = std::min(fit_count(offer.total, want.need), tasks);
-        if (fitting == 0) continue;
-        double price = offer.rate / fitting;
+        if (offer.refused || !demand.allowed[i]) continue;
+        std::uint32_t fitCount = std::min(fit_count(offer.total, demand.need), tasks);
+        if (fitCount == 0) continue;
+        double price = offer.rate / fitCount;
         if (price < lowestPrice) {
             lowestPrice = price;
             cheapest = i;
@@ -50,22 +51,22 @@
 
 }  // namespace
 
-std::vector<ScaleOut> choose_scale_out(const std::vector<Offer>& offers, const std::vector<TaskDemand>& wants,
-                                       const std::vector<std::uint32_t>& pending, std::uint32_t most) {
+std::vector<ScaleOut> choose_scale_out(const std::vector<Offer>& offers, const std::vector<TaskDemand>& demands,
+                                       const std::vector<std::uint32_t>& pending, std::uint32_t maxMachines) {
     std::vector<Bin> bins = pending_bins(offers, pending);
     std::vector<std::uint32_t> rented(offers.size(), 0);
-    std::uint32_t rentedInAll = 0;
-    for (const TaskDemand& want : wants) {
-        std::uint32_t tasks = want.count;
+    std::uint32_t rentedTotal = 0;
+    for (const TaskDemand& demand : demands) {
+        std::uint32_t tasks = demand.count;
         for (Bin& bin : bins)
-            if (want.allowed[bin.offer]) tasks = fill(bin, want.need, tasks);
-        while (tasks > 0 && rentedInAll < most) {
-            auto offer = cheapest_offer(offers, want, tasks);
+            if (demand.allowed[bin.offer]) tasks = fill(bin, demand.need, tasks);
+        while (tasks > 0 && rentedTotal < maxMachines) {
+            auto offer = cheapest_offer(offers, demand, tasks);
             if (!offer) break;
             Bin& bin = bins.emplace_back(Bin{*offer, offers[*offer].total});
-            tasks = fill(bin, want.need, tasks);
+            tasks = fill(bin, demand.need, tasks);
             ++rented[*offer];
-            ++rentedInAll;
+            ++rentedTotal;
         }
     }
     std::vector<ScaleOut> chosen;
