--- a/src/autoscaling/cloud_role.hpp
+++ b/src/autoscaling/cloud_role.hpp
@@ -1,7 +1,8 @@
-// The cloud role: the one process at a time that calls the cloud (machine types, machine list, scale-out, scale-in).
+// The cloud role: only the process that holds it calls the cloud API (machine types, machine list, scale-out,
+// scale-in).
 //
-// The role is a key of the state service attached to the holder's member lease. Stateless beside the context.
-// Single-threaded, free of I/O.
+// The role is a key in the state service, attached to the holder's member lease. Keeps no state of its own.
+// Single-threaded, does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +16,16 @@
   public:
     explicit CloudRole(const leadership::ControllerContext& context) : context_(context) {}
 
-    // Whether this very process holds the role. An earlier process of the same name holds it until its lease expires.
+    // Whether this process holds the role. An earlier process of the same member name does not count: it holds the role
+    // until its own lease expires.
     bool held_here() const;
-    // Whether the role is free, or held by an earlier process of this name.
+    // Whether the role is free, or held by an earlier process of the same member name.
     bool may_acquire() const;
-    // Adds the acquisition to the transaction, on this process's own lease: inherited by name alone the role would end
-    // with the lease of the earlier process, in the middle of this one's calls.
+    // Adds the acquisition to the transaction, attached to this process's own lease. A role taken over by name alone
+    // would end with the lease of the earlier process, possibly during a call of this one.
     bool acquire(state::TransactionBuilder& builder, std::uint64_t memberLeaseId) const;
-    // Asked before each call: the role lasts as long as the member's lease, which may expire while a call is under way.
+    // To be checked before each call: the role ends with the member's lease, which may expire while a call is in
+    // progress.
     bool may_call_cloud() const;
 
   private:
--- a/src/autoscaling/scale_in_policy.hpp
+++ b/src/autoscaling/scale_in_policy.hpp
@@ -1,8 +1,9 @@
-// Which hosts go back to the cloud: surplus, faulty and lost ones, and silent ones that something waits for.
+// Selects the hosts to return to the cloud: surplus, faulty and lost hosts, and silent hosts that block other work.
 //
 // A host is first marked in the state service, then returned to the cloud, then recorded as gone; its record is removed
-// much later. Every controller marks the hosts it leads; the holder of the cloud role marks the others and does the
-// rest. Owns the machine list of the cloud and how long hosts have been unowned. Single-threaded, free of I/O.
+// a few leases later. Every controller marks the hosts it leads; the holder of the cloud role marks the others and does
+// the remaining steps. Owns the cloud's machine list and the times since which hosts have been unowned.
+// Single-threaded, does no I/O.
 #pragma once
 
 #include <map>
@@ -19,7 +20,7 @@
 
 namespace wellstair::autoscaling {
 
-// Hosts that neither work nor headroom needs, with the steady time in seconds since when.
+// Hosts that neither work nor headroom needs, each with the steady time in seconds since which that holds.
 using IdleHosts = std::map<std::string, double>;
 
 class ScaleInPolicy {
@@ -27,45 +28,47 @@
     ScaleInPolicy(leadership::ControllerContext& context, const leadership::CancellationRegistry& cancellations,
                   const workers::HostTable& hosts, const CloudRole& role, const IdleHosts& idleHosts);
 
-    // The cloud's list of machines, as received now.
+    // Replaces the cloud's machine list.
     void set_machines(std::vector<wire::Machine> machines) { machines_ = std::move(machines); }
 
-    // Marks hosts for return as far as the transaction has room.
+    // Marks hosts for return, as many as the transaction has room for. Does so at most once in a quarter of a heartbeat
+    // interval; other calls do nothing.
     void propose(state::TransactionBuilder& builder, Timestamp now);
-    // Marked hosts that are to be returned to the cloud now, at most as many as one call may name.
+    // Marked hosts that can be returned to the cloud now, at most as many as one call may name. Empty unless this
+    // process holds the cloud role.
     std::vector<std::string> hosts_due_for_return(Timestamp now) const;
-    // The cloud has confirmed the return of these hosts.
+    // Records that the cloud has confirmed the return of these hosts.
     void mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now);
 
   private:
     struct SilentCount {
         std::size_t silent = 0, all = 0;
     };
-    // Silent hosts among those led here.
+    // Silent hosts among those that this controller leads.
     struct Silence {
         std::unordered_map<std::string, SilentCount> byZone;
         SilentCount total;
     };
-    // Why a host led here has to go.
-    enum class Reason { none, faulty, lost, unreachable, holds_up_gang, holds_replica, holds_cancelled };
+    // Why a host led by this controller is returned.
+    enum class Reason { none, faulty, lost, unreachable, blocks_gang, holds_replica, holds_cancelled };
     struct Verdict {
         Reason reason = Reason::none;
-        bool maySave = false;  // what runs there gets the time to write checkpoints
+        bool allowCheckpoint = false;  // its tasks get time to write checkpoints before the return
     };
 
     Silence count_silent(Timestamp now) const;
-    Verdict judge_led(const state::HostRecord& host, const workers::HostTracker& tracker, const Silence& silence,
-                      Timestamp now) const;
+    Verdict evaluate_led_host(const state::HostRecord& host, const workers::HostTracker& tracker,
+                              const Silence& silence, Timestamp now) const;
     bool lost(const workers::HostTracker& tracker, Timestamp now) const;
-    bool unreachable_for_long(const workers::HostTracker& tracker, Timestamp now) const;
-    bool holds_service(const state::HostRecord& host) const;
+    bool unreachable_too_long(const workers::HostTracker& tracker, Timestamp now) const;
+    bool runs_service_replica(const state::HostRecord& host) const;
     static const char* to_string(Reason reason);
 
     // Each returns false once the transaction has no room left.
-    bool mark_led(state::TransactionBuilder& builder, Timestamp now);
-    bool mark_unowned_and_surplus(state::TransactionBuilder& builder, Timestamp now);
-    bool remove_gone(state::TransactionBuilder& builder, const std::vector<state::HostRecord*>& hosts) const;
-    bool mark_unregistered(state::TransactionBuilder& builder, Timestamp now) const;
+    bool mark_led_hosts(state::TransactionBuilder& builder, Timestamp now);
+    bool mark_unowned_and_surplus_hosts(state::TransactionBuilder& builder, Timestamp now);
+    bool remove_records(state::TransactionBuilder& builder, const std::vector<state::HostRecord*>& hosts) const;
+    bool mark_unregistered_machines(state::TransactionBuilder& builder, Timestamp now) const;
 
     leadership::ControllerContext& context_;
     const leadership::CancellationRegistry& cancellations_;
@@ -74,8 +77,8 @@
     const IdleHosts& idleHosts_;
 
     std::vector<wire::Machine> machines_;
-    std::map<std::string, double> unownedSinceS_;  // hosts of failed leaders: steady time
-    double lastProposalS_ = -1e9;
+    std::map<std::string, double> unownedSinceS_;  // steady time since the leader of the host failed
+    double lastProposalS_ = workers::kNeverS;
 };
 
 }  // namespace wellstair::autoscaling
