--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// Where tasks go: placement (LEM), the image cache, the order under overload, and which machines to rent.
+// Placement of tasks (LEM), the image cache, the order of jobs under overload, and the choice of machines to rent.
 #include <gtest/gtest.h>
 
 #include "placement/lem.hpp"
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Machines of 8 cores in two zones, in turn, with an empty image cache each.
-struct Site {
+// Machines with 8 cores and an empty image cache each, alternating between two zones.
+struct Cluster {
     std::vector<ImageCache> caches;
     std::vector<Machine> machines;
-    explicit Site(int machineCount) {
+    explicit Cluster(int machineCount) {
         for (int i = 0; i < machineCount; ++i) caches.emplace_back(10.0);
         for (int i = 0; i < machineCount; ++i) {
             Machine machine;
@@ -26,8 +26,8 @@
             machines.push_back(machine);
         }
     }
-    // A task on machine `i` from the start on.
-    void run(int i, double until, Resources need = {8, 0, 8}) {
+    // Adds a task that has been running on machine `i` since time 0.
+    void add_running_task(int i, double until, Resources need = {8, 0, 8}) {
         machines[i].busy = true;
         machines[i].allocations.push_back({0, until, need});
     }
@@ -44,44 +44,44 @@
     return request;
 }
 
-// PAPER, algorithm 5: with an idle machine left, the earliest image-ready time decides.
-TEST(Lem, WithAnIdleMachineTheImageReadyFirstWins) {
-    Site site(2);
-    site.caches[1].mark_cached("img", 1, 0);
-    Planner planner(100, site.machines, {});
+// PAPER, algorithm 5: while a machine is idle, the earliest image-ready time decides.
+TEST(Lem, IdleMachineWithEarliestImageReadyTimeIsChosen) {
+    Cluster cluster(2);
+    cluster.caches[1].mark_cached("img", 1, 0);
+    Planner planner(100, cluster.machines, {});
     EXPECT_EQ(planner.place_batch(request(2), false)[0].machine, 1u);
 }
 
-// A fetch under way counts with its end, not as a whole fetch.
-TEST(Lem, AFetchUnderWayCountsWithItsEnd) {
-    Site site(2);
-    site.caches[1].begin_fetch("img", 1, 95, 103);
-    Planner planner(100, site.machines, {});
+// A fetch in progress is scored by its end, not by the duration of a whole fetch.
+TEST(Lem, FetchInProgressIsScoredByItsEnd) {
+    Cluster cluster(2);
+    cluster.caches[1].begin_fetch("img", 1, 95, 103);
+    Planner planner(100, cluster.machines, {});
     EXPECT_EQ(planner.place_batch(request(2), false)[0].machine, 1u);
 }
 
-// Once every machine runs something, W decides between a wait for a warm slot and a fetch.
+// Once every machine runs a task, W decides between waiting for a machine with the image and fetching the image.
 TEST(Lem, SaturatedWeightDecidesBetweenWaitingAndFetching) {
-    for (auto [w, machine] : {std::pair(1.0, 0u), std::pair(10.0, 1u)}) {
-        Site site(2);
-        site.caches[1].mark_cached("img", 1, 0);
-        site.run(0, 200, {1, 0, 1});  // runs something, has room, lacks the image: 10 s to fetch
-        site.machines[0].total = {9, 0, 32};
-        site.run(1, 130);  // warm, free in 30 s
+    for (auto [weight, machine] : {std::pair(1.0, 0u), std::pair(10.0, 1u)}) {
+        Cluster cluster(2);
+        cluster.caches[1].mark_cached("img", 1, 0);
+        cluster.add_running_task(0, 200, {1, 0, 1});  // busy with free capacity, lacks the image: 10 s to fetch
+        cluster.machines[0].total = {9, 0, 32};
+        cluster.add_running_task(1, 130);  // has the image, free in 30 s
         Weights weights;
-        weights.loadOverheadWeight = w;
-        Planner planner(100, site.machines, weights);
+        weights.loadOverheadWeight = weight;
+        Planner planner(100, cluster.machines, weights);
         auto slots = planner.place_batch(request(2), false);
-        EXPECT_EQ(slots[0].machine, machine) << w;
+        EXPECT_EQ(slots[0].machine, machine) << weight;
         EXPECT_EQ(slots[0].start, machine == 0 ? 100 : 130);
     }
 }
 
-// What was promised to an earlier task is held: a later one may slip in only if it is over in time.
-TEST(Lem, PromisesAreKept) {
-    Site site(1);
-    site.run(0, 130, {4, 0, 4});
-    Planner planner(100, site.machines, {});
+// A later task must not delay a start that was promised to an earlier one: it is backfilled only if it ends in time.
+TEST(Lem, BackfillingDoesNotDelayPromisedStarts) {
+    Cluster cluster(1);
+    cluster.add_running_task(0, 130, {4, 0, 4});
+    Planner planner(100, cluster.machines, {});
     EXPECT_EQ(planner.place_batch(request(1), false)[0].start, 130);
     Request small = request(1);
     small.need = {4, 0, 4}, small.estimatedDurationS = 50;
@@ -91,44 +91,44 @@
 }
 
 TEST(Lem, EvictionPenaltyBreaksTheTie) {
-    Site site(2);
-    site.caches[0].mark_cached("old", 8, 0);
-    site.run(0, 200, {1, 0, 1});
-    site.run(1, 200, {1, 0, 1});
-    for (auto& machine : site.machines) machine.total = {9, 0, 32};
-    Planner planner(100, site.machines, {});
+    Cluster cluster(2);
+    cluster.caches[0].mark_cached("old", 8, 0);
+    cluster.add_running_task(0, 200, {1, 0, 1});
+    cluster.add_running_task(1, 200, {1, 0, 1});
+    for (auto& machine : cluster.machines) machine.total = {9, 0, 32};
+    Planner planner(100, cluster.machines, {});
     EXPECT_EQ(planner.place_batch(request(2), false)[0].machine, 1u);
 }
 
-TEST(Lem, GangsStartWholeOrNotAtAll) {
-    Site site(3);
-    site.run(2, 140);
-    Planner planner(100, site.machines, {});
+TEST(Lem, GangStartsWithAllTasksOrNone) {
+    Cluster cluster(3);
+    cluster.add_running_task(2, 140);
+    Planner planner(100, cluster.machines, {});
     auto slots = planner.place_gang(request(3, 3), false);
     ASSERT_EQ(slots.size(), 3u);
-    for (const auto& slot : slots) EXPECT_EQ(slot.start, 140);  // held for the moment at which all fit
-    EXPECT_TRUE(Planner(100, site.machines, {}).place_gang(request(3, 3), true).empty());
-    EXPECT_TRUE(Planner(100, site.machines, {}).place_gang(request(3, 4), false).empty());
+    for (const auto& slot : slots) EXPECT_EQ(slot.start, 140);  // promised for the time at which all fit
+    EXPECT_TRUE(Planner(100, cluster.machines, {}).place_gang(request(3, 3), true).empty());
+    EXPECT_TRUE(Planner(100, cluster.machines, {}).place_gang(request(3, 4), false).empty());
 }
 
-TEST(Lem, ZonesOfAGang) {
-    Site site(4);  // zones a, b, a, b
+TEST(Lem, GangRespectsCoLocationAndSpread) {
+    Cluster cluster(4);  // zones 0, 1, 0, 1
     Request coLocated = request(4, 2);
     coLocated.coLocated = true;
-    auto slots = Planner(100, site.machines, {}).place_gang(coLocated, true);
+    auto slots = Planner(100, cluster.machines, {}).place_gang(coLocated, true);
     ASSERT_EQ(slots.size(), 2u);
-    EXPECT_EQ(site.machines[slots[0].machine].zone, site.machines[slots[1].machine].zone);
+    EXPECT_EQ(cluster.machines[slots[0].machine].zone, cluster.machines[slots[1].machine].zone);
     Request spread = request(4, 3);
     spread.spread = true, spread.maxTasksPerZone = 2;
-    slots = Planner(100, site.machines, {}).place_gang(spread, true);
+    slots = Planner(100, cluster.machines, {}).place_gang(spread, true);
     ASSERT_EQ(slots.size(), 3u);
-    int inA = 0;
-    for (const auto& slot : slots) inA += site.machines[slot.machine].zone == 0;
-    EXPECT_LE(inA, 2);
-    EXPECT_GE(inA, 1);
+    int tasksInZone0 = 0;
+    for (const auto& slot : slots) tasksInZone0 += cluster.machines[slot.machine].zone == 0;
+    EXPECT_LE(tasksInZone0, 2);
+    EXPECT_GE(tasksInZone0, 1);
 }
 
-TEST(Cache, LeastRecentlyUsedGoesFirstAndUnfinishedFetchesAreGivenUp) {
+TEST(Cache, EvictsLeastRecentlyUsedAndAbandonsUnfinishedFetches) {
     ImageCache cache(10);
     cache.mark_cached("a", 4, 1);
     cache.mark_cached("b", 4, 2);
@@ -142,99 +142,99 @@
     EXPECT_LT(cache.ready_at("e", 8), 0);
 }
 
-TEST(Overload, AsManyAsPossibleAreInTime) {
-    // One job of 100 s would make the three short ones late; it steps back.
+TEST(Overload, AsManyJobsAsPossibleMeetTheirDueTimes) {
+    // One job of 100 s would make the three short ones late; it is deferred.
     std::vector<DueJob> jobs = {{100, 10, {110, 300}}, {30, 10, {120}}, {30, 10, {130}}, {30, 10, {140}}};
-    auto rate = [](std::size_t, double due) { return due; };
-    EXPECT_EQ(order_by_due(jobs, rate), (std::vector<std::size_t>{1, 2, 3, 0}));
-    // What is late at every level keeps the given order behind the rest.
+    auto capacity = [](std::size_t, double due) { return due; };
+    EXPECT_EQ(order_by_due(jobs, capacity), (std::vector<std::size_t>{1, 2, 3, 0}));
+    // Jobs that are late at every level come last, in the given order.
     jobs = {{10, 10, {-5, -1}}, {10, 10, {-9}}, {10, 10, {50}}};
-    EXPECT_EQ(order_by_due(jobs, rate), (std::vector<std::size_t>{2, 0, 1}));
+    EXPECT_EQ(order_by_due(jobs, capacity), (std::vector<std::size_t>{2, 0, 1}));
 }
 
-// On full machines, what counts is what gets free in time: the wide job that would make the small ones late steps back,
-// and is still before those that are late anyway.
-TEST(Overload, OrderFollowsTheRoomThatGetsFree) {
+// On full machines, the order follows the capacity that becomes free in time: the large job that would make the small
+// ones late is deferred, and still precedes jobs that are late anyway.
+TEST(Overload, OrderFollowsCapacityThatBecomesFree) {
     std::vector<Machine> machines(4);
     for (std::size_t i = 0; i < machines.size(); ++i) {
         machines[i].total = {16, 0, 64};
-        machines[i].allocations = {{0, 10.0 * (i + 1), {15, 0, 26}}};  // one gets free every 10 s
+        machines[i].allocations = {{0, 10.0 * (i + 1), {15, 0, 26}}};  // one becomes free every 10 s
     }
-    Request kind;
-    kind.need = {15, 0, 26}, kind.allowed = {true};
-    FreeCapacityCurve room(machines, kind, 0);
-    EXPECT_EQ(room.total_tasks(), 4u);
-    EXPECT_EQ(room.fraction_free_within(9), 0);
-    EXPECT_EQ(room.fraction_free_within(10), 0.25);
-    EXPECT_EQ(room.fraction_free_within(100), 1);
-    EXPECT_EQ(room.fraction_free_within(-1), 0);
+    Request request;
+    request.need = {15, 0, 26}, request.allowed = {true};
+    FreeCapacityCurve curve(machines, request, 0);
+    EXPECT_EQ(curve.total_tasks(), 4u);
+    EXPECT_EQ(curve.fraction_free_within(9), 0);
+    EXPECT_EQ(curve.fraction_free_within(10), 0.25);
+    EXPECT_EQ(curve.fraction_free_within(100), 1);
+    EXPECT_EQ(curve.fraction_free_within(-1), 0);
     std::vector<DueJob> jobs = {{0.75, 0, {25, 200}}, {0.25, 0, {25, 200}}, {0.25, 0, {25, 200}}, {0.25, 0, {-5}}};
-    auto by = [&](std::size_t, double due) { return room.fraction_free_within(due); };
-    EXPECT_EQ(order_by_due(jobs, by), (std::vector<std::size_t>{1, 2, 0, 3}));
-    // Others that go before all of these leave them less.
-    EXPECT_EQ(order_by_due(jobs, by, 0.25), (std::vector<std::size_t>{1, 2, 0, 3}));
+    auto capacity = [&](std::size_t, double due) { return curve.fraction_free_within(due); };
+    EXPECT_EQ(order_by_due(jobs, capacity), (std::vector<std::size_t>{1, 2, 0, 3}));
+    // Work of jobs that precede all of these reduces the capacity left for them.
+    EXPECT_EQ(order_by_due(jobs, capacity, 0.25), (std::vector<std::size_t>{1, 2, 0, 3}));
 }
 
-TEST(ScaleOut, CheapestPerTaskAndWhatIsComingIsFilledFirst) {
+TEST(ScaleOut, ChoosesCheapestPerTaskAndFillsPendingMachinesFirst) {
     std::vector<Offer> offers(2);
     offers[0].total = {8, 0, 32}, offers[0].rate = 1;
     offers[1].total = {64, 0, 256}, offers[1].rate = 4;
-    TaskDemand want{{8, 0, 8}, 9, {true, true}};
-    auto chosen = choose_scale_out(offers, {want}, {0, 0}, 20);
+    TaskDemand demand{{8, 0, 8}, 9, {true, true}};
+    auto chosen = choose_scale_out(offers, {demand}, {0, 0}, 20);
     ASSERT_EQ(chosen.size(), 2u);
     EXPECT_EQ(chosen[0].machineCount, 1u);
     EXPECT_EQ(chosen[1].machineCount, 1u);
-    EXPECT_TRUE(choose_scale_out(offers, {want}, {1, 1}, 20).empty());
+    EXPECT_TRUE(choose_scale_out(offers, {demand}, {1, 1}, 20).empty());
     offers[0].refused = offers[1].refused = true;
-    EXPECT_TRUE(choose_scale_out(offers, {want}, {0, 0}, 20).empty());
+    EXPECT_TRUE(choose_scale_out(offers, {demand}, {0, 0}, 20).empty());
 }
 
-// A gang starts when the last of its machines is ready: the zone where that is soonest is taken, not the first that has
-// room.
-TEST(Lem, AGangGoesToTheZoneWhereItsLastMachineIsReadyFirst) {
-    Site site(4);  // zone 0: machines 0 and 2, zone 1: machines 1 and 3
-    site.caches[0].mark_cached("img", 1, 0);
-    site.caches[1].mark_cached("img", 1, 0);
-    site.caches[3].mark_cached("img", 1, 0);
-    Planner planner(100, site.machines, {});
+// A gang starts when the last of its machines is ready: the zone where that is earliest is chosen, not the first zone
+// with free capacity.
+TEST(Lem, GangIsPlacedInTheZoneWhereItsLastMachineIsReadyFirst) {
+    Cluster cluster(4);  // zone 0: machines 0 and 2, zone 1: machines 1 and 3
+    cluster.caches[0].mark_cached("img", 1, 0);
+    cluster.caches[1].mark_cached("img", 1, 0);
+    cluster.caches[3].mark_cached("img", 1, 0);
+    Planner planner(100, cluster.machines, {});
     Request gang = request(4, 2);
     gang.coLocated = true;
     auto slots = planner.place_gang(gang, false);
     ASSERT_EQ(slots.size(), 2u);
-    for (const auto& slot : slots) EXPECT_EQ(site.machines[slot.machine].zone, 1u);
+    for (const auto& slot : slots) EXPECT_EQ(cluster.machines[slot.machine].zone, 1u);
 }
 
-// Small tasks fill up machines that are in use already, so that wide ones find whole machines; not at the price of a
-// fetch.
-TEST(Lem, SmallTasksArePackedWhereTheImageIs) {
-    for (auto [warmEmpty, machine] : {std::pair(false, 1u), std::pair(true, 0u)}) {
-        Site site(2);
-        site.run(1, 200, {2, 0, 2});
-        if (warmEmpty)
-            site.caches[0].mark_cached("img", 1, 0);
+// Small tasks are packed on machines that are already in use, so that large tasks find whole machines, but not at the
+// cost of fetching the image.
+TEST(Lem, SmallTasksArePackedOnBusyMachinesThatHaveTheImage) {
+    for (auto [idleHasImage, machine] : {std::pair(false, 1u), std::pair(true, 0u)}) {
+        Cluster cluster(2);
+        cluster.add_running_task(1, 200, {2, 0, 2});
+        if (idleHasImage)
+            cluster.caches[0].mark_cached("img", 1, 0);
         else
-            for (auto& cache : site.caches) cache.mark_cached("img", 1, 0);
+            for (auto& cache : cluster.caches) cache.mark_cached("img", 1, 0);
         Weights weights;
         weights.emptyHostPenaltyS = 2;
-        Planner planner(100, site.machines, weights);
+        Planner planner(100, cluster.machines, weights);
         Request small = request(2);
         small.need = {2, 0, 2};
         EXPECT_EQ(planner.place_batch(small, false)[0].machine, machine);
     }
 }
 
-// A thousand full machines and a long queue: starts pass over whole kinds of machines instead of looking at each, and
-// one look serves all that follow. Counted in machines looked at, not in time.
-TEST(Lem, ALongQueueBehindFullMachinesLooksAtNone) {
-    Site site(1000);
-    for (int i = 0; i < 1000; ++i) site.run(i, 200);
-    site.machines[7].allocations.clear();
-    Planner planner(100, site.machines, {});
+// With a thousand full machines and a long queue, immediate starts must skip node pools without free capacity as a
+// whole, and a single scan of the pool must serve all jobs that follow. Counted in examined machines, not in time.
+TEST(Lem, LongQueueBehindFullMachinesExaminesNone) {
+    Cluster cluster(1000);
+    for (int i = 0; i < 1000; ++i) cluster.add_running_task(i, 200);
+    cluster.machines[7].allocations.clear();
+    Planner planner(100, cluster.machines, {});
     EXPECT_EQ(planner.place_batch(request(1), true).size(), 1u);
-    auto first = planner.machines_examined();
-    EXPECT_LE(first, 1100u);
+    auto firstScan = planner.machines_examined();
+    EXPECT_LE(firstScan, 1100u);
     for (int job = 0; job < 500; ++job) EXPECT_TRUE(planner.place_batch(request(1), true).empty());
-    EXPECT_LE(planner.machines_examined() - first, 1100u);
+    EXPECT_LE(planner.machines_examined() - firstScan, 1100u);
 }
 
 }  // namespace
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,4 +1,5 @@
-// Jobs and teams at the scale of the state service's limits: every transaction is small enough, and writes a key once.
+// Jobs and teams at the limits of the state service: every transaction stays within the limits and writes each key
+// once.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -28,7 +29,7 @@
     return settings;
 }
 
-// One controller with one machine of 200 cores, and the sizes of what it commits.
+// One controller with one machine of 200 cores; records the largest transaction and value that it commits.
 class LargeJobRun {
   public:
     void start() {
@@ -47,14 +48,14 @@
         core.set_availability(state::Availability::serving, {});
     }
 
-    // Reads all changes, and forgets them to save memory.
+    // Reads all changes and drops them from the log to save memory.
     void sync() {
         constexpr double kWallS = 1'000'000;
         test::read_changes(store, core.state(), kWallS);
         store.log.clear();
     }
 
-    // Commits and checks that the transaction is within the limits.
+    // Checks that the transaction is within the limits and commits it.
     void commit(const state::TransactionBuilder& builder) {
         auto transaction = builder.build();
         largestTransaction = std::max(largestTransaction, transaction.body.dump().size());
@@ -89,39 +90,40 @@
         commit(builder);
     }
 
-    // Places the next tasks on the one machine, as many as fit a transaction.
+    // Places the next tasks on the machine, as many as fit into one transaction.
     void place_tasks(state::Job& job, std::uint32_t& next) {
-        constexpr std::uint32_t kMostAtOnce = 400;
+        constexpr std::uint32_t kMaxTasksAtOnce = 400;
         auto* host = core.state().host("n-1");
         auto place = core.new_transaction();
         const std::uint32_t first = next;
-        while (next < kTasks && next - first < kMostAtOnce && place.place(job, {{next, host}}, 1, 1'000'000)) ++next;
+        while (next < kTasks && next - first < kMaxTasksAtOnce && place.place(job, {{next, host}}, 1, 1'000'000))
+            ++next;
         ASSERT_GT(next, first);
         commit(place);
     }
 
-    // Marks all placed tasks as done, as a leader does when their ends are proven.
+    // Marks all placed tasks as done, as a leader does once it has proof that they have ended.
     void complete_placed_tasks(state::Job& job) {
         auto* host = core.state().host("n-1");
         while (job.placed > 0) {
             auto release = core.new_transaction();
             const auto placed = host->placed;
-            bool any = false;
+            bool released = false;
             for (const auto& ref : placed) {
                 if (!release.release_task(job, ref.index, state::TaskState::done)) break;
-                any = true;
+                released = true;
             }
-            ASSERT_TRUE(any);
+            ASSERT_TRUE(released);
             commit(release);
         }
     }
 
     void collect_orphaned_chunks() {
         while (!core.state().orphaned_chunks().empty()) {
-            auto garbage_collect = core.new_transaction();
+            auto collect = core.new_transaction();
             for (const auto& [path, revision] : core.state().orphaned_chunks())
-                if (!garbage_collect.garbage_collect(path, revision)) break;
-            commit(garbage_collect);
+                if (!collect.garbage_collect(path, revision)) break;
+            commit(collect);
         }
     }
 
@@ -132,7 +134,7 @@
     std::size_t largestValue = 0;        // bytes
 };
 
-TEST(Scale, AJobOfAHundredThousandTasks) {
+TEST(Scale, JobWithHundredThousandTasks) {
     LargeJobRun run;
     run.start();
     run.submit_job();
@@ -147,7 +149,7 @@
     EXPECT_LE(run.largestTransaction, kTransactionBytes);
     EXPECT_LE(run.largestValue, kValueBytes);
 
-    // Its end is one transaction; the chunks left behind are removed in later ones.
+    // The job finishes in one transaction; its orphaned chunks are removed in later ones.
     auto finish = core.new_transaction();
     ASSERT_TRUE(finish.finish(*job, state::JobState::done));
     run.commit(finish);
@@ -158,9 +160,9 @@
     EXPECT_EQ(core.state().teams().at("blue").total.cores, 0);
 }
 
-// A user's repeated submissions in one batch, or two reasons to return one machine, must not write a key twice in a
-// transaction: the protocol does not say what the state service makes of that.
-TEST(Scale, AKeyIsWrittenOnceInATransaction) {
+// Repeated submissions of a job in one batch, or two reasons to return the same machine, must not write a key twice in
+// a transaction: the protocol does not define how the state service handles that.
+TEST(Scale, KeyIsWrittenOnceInATransaction) {
     config::Settings settings;
     settings.member = "a";
     settings.teams = {{"blue", 0, 0, 0, 0}};
@@ -179,11 +181,13 @@
     EXPECT_EQ(builder.writes(), 4);
     std::set<std::string> paths;
     auto transaction = builder.build();
-    for (const auto& op : transaction.body["apply"]) EXPECT_TRUE(paths.insert(op["set"]).second) << op["set"];
+    for (const auto& operation : transaction.body["apply"])
+        EXPECT_TRUE(paths.insert(operation["set"]).second) << operation["set"];
 }
 
-// Many teams in one transaction, each of which assigns the shares of its quota anew with its second job: the keys that
-// this writes count, too. Left out, the state service refused such a transaction as too large, again and again.
+// A transaction with jobs of many teams, where the second job of each team reassigns the team's quota shares. The keys
+// written for the shares must count towards the limit; when they did not, the state service rejected the transaction as
+// too large on every retry.
 TEST(Scale, ReassigningQuotaSharesFitsTheTransaction) {
     config::Settings settings;
     settings.member = "a", settings.location = "a";
@@ -208,7 +212,7 @@
         apply("ws/jobs/" + spec.id, {{"s", to_json(spec)}, {"at", 0}});
         apply("ws/active/" + spec.id, {{"o", "a"}});
     }
-    // Room for one job in the share of each team.
+    // The share of each team has capacity for one job.
     for (int i = 0; i < teams; ++i)
         apply("ws/teams/team-" + std::to_string(i),
               {{"a", wire::Json::array({10000, 0})}, {"b", wire::Json::array({0, 0})}});
