--- a/src/placement/overload.cpp
+++ b/src/placement/overload.cpp
@@ -8,41 +8,41 @@
 
 using Indices = std::vector<std::size_t>;
 
-// The job with the most work; of equals the last one.
+// The job with the most work; the last one of equals.
 Indices::iterator most_work(const std::vector<DueJob>& jobs, Indices& among) {
     auto lessWork = [&](std::size_t a, std::size_t b) { return jobs[a].work < jobs[b].work; };
     return std::prev(std::max_element(among.rbegin(), among.rend(), lessWork).base());
 }
 
-// What one level of due times has decided.
+// Result of ordering by one level of due times.
 struct LevelOrder {
-    Indices inTime;   // in the order of their due times
-    Indices late;     // left to the next level
-    double work = 0;  // of those in time, and of those before the level
+    Indices inTime;   // sorted by due time
+    Indices late;     // deferred to the next level
+    double work = 0;  // of the jobs in time, plus `ahead`
 };
 
-// `remaining`: the jobs that no level before has taken in; `ahead`: the work of those that were.
+// `remaining`: the jobs that earlier levels have deferred; `ahead`: the work of the jobs that precede them.
 LevelOrder order_level(const std::vector<DueJob>& jobs, const Indices& remaining, std::size_t level,
                        const Capacity& capacity, double ahead) {
     LevelOrder order;
     order.work = ahead;
     Indices candidates;
-    for (std::size_t job : remaining) (level < jobs[job].due.size() ? candidates : order.late).push_back(job);
+    for (std::size_t job : remaining) (level < jobs[job].dueTimes.size() ? candidates : order.late).push_back(job);
     std::stable_sort(candidates.begin(), candidates.end(),
-                     [&](std::size_t a, std::size_t b) { return jobs[a].due[level] < jobs[b].due[level]; });
+                     [&](std::size_t a, std::size_t b) { return jobs[a].dueTimes[level] < jobs[b].dueTimes[level]; });
     for (std::size_t job : candidates) {
-        const double due = jobs[job].due[level];
-        if (jobs[job].leastS > due) {
+        const double due = jobs[job].dueTimes[level];
+        if (jobs[job].minDurationS > due) {
             order.late.push_back(job);
             continue;
         }
         order.inTime.push_back(job);
         order.work += jobs[job].work;
         if (order.work <= capacity(job, due)) continue;
-        auto victim = most_work(jobs, order.inTime);
-        order.work -= jobs[*victim].work;
-        order.late.push_back(*victim);
-        order.inTime.erase(victim);
+        auto deferred = most_work(jobs, order.inTime);
+        order.work -= jobs[*deferred].work;
+        order.late.push_back(*deferred);
+        order.inTime.erase(deferred);
     }
     std::sort(order.late.begin(), order.late.end());
     return order;
@@ -54,7 +54,7 @@
     Indices remaining(jobs.size());
     std::iota(remaining.begin(), remaining.end(), 0);
     std::size_t levels = 0;
-    for (const DueJob& job : jobs) levels = std::max(levels, job.due.size());
+    for (const DueJob& job : jobs) levels = std::max(levels, job.dueTimes.size());
     Indices ordered;
     for (std::size_t level = 0; level < levels; ++level) {
         LevelOrder order = order_level(jobs, remaining, level, capacity, ahead);
