--- a/src/api/server.cpp
+++ b/src/api/server.cpp
@@ -69,7 +69,7 @@
     explicit Connection(tcp::socket socket) : stream(std::move(socket)) {}
 
     beast::tcp_stream stream;
-    beast::flat_buffer buffer{2 * wire::kBodyLimit};
+    beast::flat_buffer buffer{2 * wire::kMaxBodyBytes};
     Caller caller = Caller::user;
     bool counted = true;                                    // by the quota; false: closed to make room
     std::optional<std::list<Connection*>::iterator> place;  // in waiting_
@@ -144,7 +144,7 @@
 // Reads and answers one request; false when the connection is not to be used for another.
 asio::awaitable<bool> Server::serve_request(Connection& connection) {
     http::request_parser<http::string_body> parser;
-    parser.body_limit(wire::kBodyLimit);
+    parser.body_limit(wire::kMaxBodyBytes);
     connection.stream.expires_after(idle_limit(connection));
     begin_wait(connection);
     auto [readError, bytesRead] = co_await http::async_read(connection.stream, connection.buffer, parser, kAwait);
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -70,7 +70,8 @@
         boost::asio::io_context io(1);
         service::Service service(io, settings, tunables);
         service.start();
-        spdlog::info("{} listens on {}:{}", settings.member, settings.front.host, settings.front.port);
+        spdlog::info("{} listens on {}:{}", settings.member, settings.publicEndpoint.host,
+                     settings.publicEndpoint.port);
         io.run();
     } catch (const std::exception& e) {
         spdlog::critical("cannot run: {}", e.what());
--- a/src/autoscaling/scale_in_policy.cpp
+++ b/src/autoscaling/scale_in_policy.cpp
@@ -111,7 +111,7 @@
     // A host that has been silent for so long has broken the gangs that had tasks there, and their next attempt waits
     // for the proof that these are gone. The cloud's confirmation comes sooner than the lease expiry.
     const bool holdsUpGang =
-        silentS > hosts_.silent_after() + settings.gangPeerS && zoneHeard &&
+        silentS > hosts_.silent_after() + settings.gangPeerTimeoutS && zoneHeard &&
         std::any_of(host.placed.begin(), host.placed.end(), [](const TaskRef& ref) { return ref.job->wide_gang(); });
     const bool holdsCancelled = !cutOff && cancellations_.holds_cancelled(host, tracker, now);
     const bool holdsReplica = !cutOff && zoneHeard && tracker.state == HostState::silent &&
@@ -201,10 +201,10 @@
         const bool registered = host && host->registered();
         const bool running = machine.phase == "running";
         const bool failed = machine.phase == "failed";
-        const bool stuck = !running && !registered && machine.heldS > kStuckBoots * bootS + settings.listLagS;
+        const bool stuck = !running && !registered && machine.ageS > kStuckBoots * bootS + settings.listLagS;
         const bool neverRegistered =
             running && !registered &&
-            machine.heldS > kNeverRegisteredBoots * bootS + kNeverRegisteredLeases * settings.leaseS;
+            machine.ageS > kNeverRegisteredBoots * bootS + kNeverRegisteredLeases * settings.leaseS;
         if (!failed && !stuck && !neverRegistered) continue;
         const auto markedAtS = static_cast<std::int64_t>(now.wall);
         if (!builder.mark_for_return(machine.name, machine.zone, markedAtS, false, failed ? "failed" : "stuck"))
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -20,12 +20,12 @@
 
 bool refused(const net::Reply& reply, const std::optional<Json>& body) {
     if (reply.status == kMalformed) return true;
-    return reply.status == kUnavailable && body && wire::text(*body, "error") == "no capacity";
+    return reply.status == kUnavailable && body && wire::get_string(*body, "error") == "no capacity";
 }
 
 std::vector<std::string> host_names(const Json& body) {
     std::vector<std::string> out;
-    if (const Json* hosts = wire::list(body, "hosts"))
+    if (const Json* hosts = wire::get_array(body, "hosts"))
         for (const Json& host : *hosts)
             if (host.is_string()) out.push_back(host.get<std::string>());
     return out;
@@ -52,7 +52,7 @@
 }
 
 Client::Client(asio::io_context& io, const config::Settings& settings)
-    : io_(io), http_(io, settings.cloud), spacingS_(1 / (kShareOfRate * settings.cloudRps)) {}
+    : io_(io), http_(io, settings.cloudEndpoint), spacingS_(1 / (kShareOfRate * settings.cloudRps)) {}
 
 asio::awaitable<net::Reply> Client::call(net::verb method, std::string target, std::string body) {
     const double nowS = net::steady_now();
@@ -71,11 +71,11 @@
     net::Reply reply = co_await call(net::verb::get, "/machine_types", "");
     if (!reply.ok()) co_return std::nullopt;
     auto body = wire::decode(reply.body);
-    const Json* list = body ? wire::list(*body, "builds") : nullptr;
+    const Json* list = body ? wire::get_array(*body, "builds") : nullptr;
     if (!list) co_return std::nullopt;
     std::vector<wire::MachineType> out;
     for (const Json& entry : *list)
-        if (auto type = wire::parse_type(entry)) out.push_back(std::move(*type));
+        if (auto type = wire::parse_machine_type(entry)) out.push_back(std::move(*type));
     co_return out;
 }
 
@@ -114,14 +114,14 @@
         net::Reply reply = co_await call(net::verb::get, list_target(lastName), "");
         if (!reply.ok()) co_return std::nullopt;
         auto body = wire::decode(reply.body);
-        const Json* hosts = body ? wire::list(*body, "hosts") : nullptr;
+        const Json* hosts = body ? wire::get_array(*body, "hosts") : nullptr;
         if (!hosts) co_return std::nullopt;
         for (const Json& entry : *hosts)
             if (auto machine = wire::parse_machine(entry)) {
                 lastName = machine->name;
                 out.push_back(std::move(*machine));
             }
-        if (!wire::flag(*body, "hasNext").value_or(false) || hosts->empty()) break;
+        if (!wire::get_bool(*body, "hasNext").value_or(false) || hosts->empty()) break;
     }
     co_return out;
 }
--- a/src/common/stable_hash.hpp
+++ b/src/common/stable_hash.hpp
@@ -7,6 +7,6 @@
 namespace wellstair {
 
 // FNV-1a over both texts, finished by a multiplicative mix so that similar names spread evenly.
-std::uint64_t stable_hash(std::string_view a, std::string_view b);
+std::uint64_t stable_hash(std::string_view candidate, std::string_view key);
 
 }  // namespace wellstair
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -149,8 +149,8 @@
 
 // `[endpoints]`.
 void read_endpoints(const TableReader& endpoints, Settings& settings) {
-    settings.cloud = endpoints.endpoint("cloud");
-    settings.state = endpoints.endpoint("state");
+    settings.cloudEndpoint = endpoints.endpoint("cloud");
+    settings.stateEndpoint = endpoints.endpoint("state");
 }
 
 // `[[deployment.teams]]`.
@@ -175,7 +175,7 @@
         objective.kind = reader.text("kind");
         objective.jobClass = reader.text_or_empty("class");
         objective.withinS = reader.amount_or_0("within_s");
-        objective.times = reader.amount_or_0("times");
+        objective.deadlineMultiple = reader.amount_or_0("times");
         settings.objectives.push_back(std::move(objective));
     }
 }
@@ -184,8 +184,8 @@
 void read_workers(const TableReader& workers, Settings& settings) {
     settings.heartbeatIntervalS = workers.positive("report_s");
     settings.leaseS = workers.positive("lease_s");
-    settings.gangWaitS = workers.positive("gang_wait_s");
-    settings.gangPeerS = workers.positive("gang_peer_s");
+    settings.gangAssemblyTimeoutS = workers.positive("gang_wait_s");
+    settings.gangPeerTimeoutS = workers.positive("gang_peer_s");
     settings.cancelS = workers.positive("cancel_s");
 }
 
@@ -197,14 +197,14 @@
 }
 
 // `[deployment.state.next]`: a field that is missing stays as it is now.
-StateLimits next_limits(const TableReader& nextState, const StateLimits& now) {
+StateLimits next_limits(const TableReader& table, const StateLimits& now) {
     StateLimits next = now;
-    if (nextState.contains("value_kb")) next.valueKb = nextState.positive("value_kb");
-    if (nextState.contains("write_rps")) next.writeRps = nextState.positive("write_rps");
-    if (nextState.contains("txn_ops")) next.transactionOperations = transaction_operations(nextState);
+    if (table.contains("value_kb")) next.valueKb = table.positive("value_kb");
+    if (table.contains("write_rps")) next.writeRps = table.positive("write_rps");
+    if (table.contains("txn_ops")) next.transactionOperations = transaction_operations(table);
     // The largest value that is stored has to be divided in one transaction.
     if (next.valueKb * next.transactionOperations < now.valueKb)
-        nextState.fail("value_kb", "at least state.value_kb divided by state.next.txn_ops");
+        table.fail("value_kb", "at least state.value_kb divided by state.next.txn_ops");
     return next;
 }
 
@@ -214,7 +214,7 @@
     settings.stateWriteRps = state.positive("write_rps");
     settings.valueKb = state.positive("value_kb");
     settings.transactionOperations = transaction_operations(state);
-    if (state.contains("next")) settings.nextState = next_limits(state.table("next"), settings.state_limits());
+    if (state.contains("next")) settings.nextStateLimits = next_limits(state.table("next"), settings.state_limits());
 }
 
 // `[deployment.cloud]`.
@@ -225,8 +225,8 @@
 
 // `[deployment.quota]`.
 void read_quota(const TableReader& quota, Settings& settings) {
-    settings.cores = quota.positive("cores");
-    settings.ramMb = quota.positive("ram_mb");
+    settings.processCores = quota.positive("cores");
+    settings.processRamMb = quota.positive("ram_mb");
     settings.maxSockets = quota.positive_integer("max_sockets");
 }
 
@@ -251,10 +251,10 @@
 
 StateLimits Settings::lowest_state_limits() const {
     StateLimits limits = state_limits();
-    if (!nextState) return limits;
-    limits.valueKb = std::min(limits.valueKb, nextState->valueKb);
-    limits.writeRps = std::min(limits.writeRps, nextState->writeRps);
-    limits.transactionOperations = std::min(limits.transactionOperations, nextState->transactionOperations);
+    if (!nextStateLimits) return limits;
+    limits.valueKb = std::min(limits.valueKb, nextStateLimits->valueKb);
+    limits.writeRps = std::min(limits.writeRps, nextStateLimits->writeRps);
+    limits.transactionOperations = std::min(limits.transactionOperations, nextStateLimits->transactionOperations);
     return limits;
 }
 
@@ -264,8 +264,8 @@
     Settings settings;
     settings.member = root.text("member");
     settings.location = root.text("location");
-    settings.front = root.endpoint("front");
-    settings.internal = root.endpoint("internal_addr");
+    settings.publicEndpoint = root.endpoint("front");
+    settings.internalEndpoint = root.endpoint("internal_addr");
     read_members(root, settings);
     read_endpoints(root.table("endpoints"), settings);
     read_deployment(root.table("deployment"), settings);
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -39,10 +39,10 @@
 
 // A service-level objective of a class of jobs: `[[deployment.objectives]]`. Only guides the order under overload.
 struct Objective {
-    std::string kind;      // objectives.kind: "wait", "finished", "deadline" or "guarantee"
-    std::string jobClass;  // objectives.class; empty: all
-    double withinS = 0;    // objectives.within_s, seconds; 0: none
-    double times = 0;      // objectives.times: multiple of the deadline; 0: none
+    std::string kind;             // objectives.kind: "wait", "finished", "deadline" or "guarantee"
+    std::string jobClass;         // objectives.class; empty: all
+    double withinS = 0;           // objectives.within_s, seconds; 0: none
+    double deadlineMultiple = 0;  // objectives.times: multiple of the deadline; 0: none
 };
 
 // What the state service accepts: limits in `[deployment.state]`.
@@ -53,46 +53,46 @@
 
     std::size_t value_bytes() const { return static_cast<std::size_t>(valueKb * 1024); }
     // Most preconditions of one transaction.
-    int conditions() const { return kConditionsPerOperation * transactionOperations; }
+    int max_preconditions() const { return kPreconditionsPerOperation * transactionOperations; }
     bool operator==(const StateLimits&) const = default;
 
-    static constexpr int kConditionsPerOperation = 4;
+    static constexpr int kPreconditionsPerOperation = 4;
 };
 
 // All settings of one controller.
 struct Settings {
     std::string member;                  // member: its own name
     std::string location;                // location: its own zone
-    Endpoint front;                      // front: for users, workers and health checks
-    Endpoint internal;                   // internal_addr: for other controllers
+    Endpoint publicEndpoint;             // front: for users, workers and health checks
+    Endpoint internalEndpoint;           // internal_addr: for other controllers
     std::vector<MemberAddress> members;  // members: the other controllers
-    Endpoint cloud;                      // endpoints.cloud
-    Endpoint state;                      // endpoints.state
+    Endpoint cloudEndpoint;              // endpoints.cloud
+    Endpoint stateEndpoint;              // endpoints.state
     double skewS = 0;                    // deployment.skew_ms, here seconds: bound of the clock's error
     std::vector<Team> teams;             // deployment.teams
     std::vector<Objective> objectives;   // deployment.objectives
 
-    double heartbeatIntervalS = 0;  // deployment.workers.report_s, seconds
-    double leaseS = 0;              // deployment.workers.lease_s, seconds
-    double gangWaitS = 0;           // deployment.workers.gang_wait_s, seconds that a gang waits to be complete
-    double gangPeerS = 0;           // deployment.workers.gang_peer_s, seconds until a gang notices a lost task
-    double cancelS = 0;             // deployment.workers.cancel_s, seconds until a cancelled job's tasks are gone
+    double heartbeatIntervalS = 0;    // deployment.workers.report_s, seconds
+    double leaseS = 0;                // deployment.workers.lease_s, seconds
+    double gangAssemblyTimeoutS = 0;  // deployment.workers.gang_wait_s, seconds that a gang waits to be complete
+    double gangPeerTimeoutS = 0;      // deployment.workers.gang_peer_s, seconds until a gang notices a lost task
+    double cancelS = 0;               // deployment.workers.cancel_s, seconds until a cancelled job's tasks are gone
 
-    double stateRps = 0;                   // deployment.state.rps: requests per second
-    double stateWriteRps = 0;              // deployment.state.write_rps: writes per second
-    double valueKb = 0;                    // deployment.state.value_kb: largest value, KiB
-    int transactionOperations = 0;         // deployment.state.txn_ops: operations in one transaction
-    std::optional<StateLimits> nextState;  // deployment.state.next: limits that will apply from some moment on
+    double stateRps = 0;                         // deployment.state.rps: requests per second
+    double stateWriteRps = 0;                    // deployment.state.write_rps: writes per second
+    double valueKb = 0;                          // deployment.state.value_kb: largest value, KiB
+    int transactionOperations = 0;               // deployment.state.txn_ops: operations in one transaction
+    std::optional<StateLimits> nextStateLimits;  // deployment.state.next: limits that will apply from some moment on
 
     double cloudRps = 0;  // deployment.cloud.rps: requests per second
     double listLagS = 0;  // deployment.cloud.list_lag_s, seconds by which the list of machines lags
 
-    double cores = 0;    // deployment.quota.cores: of this process
-    double ramMb = 0;    // deployment.quota.ram_mb: of this process, megabytes
-    int maxSockets = 0;  // deployment.quota.max_sockets: open sockets of this process
+    double processCores = 0;  // deployment.quota.cores: of this process
+    double processRamMb = 0;  // deployment.quota.ram_mb: of this process, megabytes
+    int maxSockets = 0;       // deployment.quota.max_sockets: open sockets of this process
 
     // Number of controllers, this one included.
-    int size() const { return static_cast<int>(members.size()) + 1; }
+    int controller_count() const { return static_cast<int>(members.size()) + 1; }
     // Null if there is no team of that name.
     const Team* team(const std::string& name) const;
     // The limits that apply now.
--- a/src/controller/scale_out.cpp
+++ b/src/controller/scale_out.cpp
@@ -95,7 +95,7 @@
                                   zone,
                                   spot,
                                   {t.cores, t.gpus, t.ramGb},
-                                  spot ? t.lowPrice : t.rate,
+                                  spot ? t.spotPrice : t.price,
                                   t.startupS,
                                   r != backoffs_.end() && now.steady < r->second.untilS});
                 pending.push_back(onTheWay[offer_key(kind)]);
--- a/src/leadership/state_limit_policy.cpp
+++ b/src/leadership/state_limit_policy.cpp
@@ -38,7 +38,7 @@
 // compares and changes the very key that its own changes compare: one that came back would do no harm
 // (docs/upgrade.md).
 bool StateLimitPolicy::splitting_allowed() const {
-    return context_.settings().nextState && (layout_switched() || limitsFell_);
+    return context_.settings().nextStateLimits && (layout_switched() || limitsFell_);
 }
 
 config::StateLimits StateLimitPolicy::limits() const {
@@ -52,7 +52,7 @@
 }
 
 void StateLimitPolicy::handle_rejected_transaction(const std::vector<std::string>& keys, Timestamp now) {
-    if (context_.settings().nextState && !splitting_allowed()) {
+    if (context_.settings().nextStateLimits && !splitting_allowed()) {
         limitsFell_ = true;  // the same changes may fit by the lower limits
         spdlog::info("the state service's limits have fallen: the announced ones hold from now on");
         return;
@@ -73,7 +73,7 @@
 
 bool StateLimitPolicy::propose_switch(state::TransactionBuilder& builder) const {
     const config::Settings& settings = context_.settings();
-    if (!settings.nextState || context_.state().layout_revision()) return false;
+    if (!settings.nextStateLimits || context_.state().layout_revision()) return false;
     if (!can_write_split_shards(settings.member)) return false;
     const bool allReady = std::all_of(settings.members.begin(), settings.members.end(),
                                       [&](const auto& member) { return can_write_split_shards(member.name); });
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -30,7 +30,7 @@
 
 PeerNetwork::PeerNetwork(asio::io_context& io, const config::Settings& settings, OwnStatus ownStatus, OnStatus onStatus)
     : io_(io), settings_(settings), acceptor_(io), ownStatus_(std::move(ownStatus)), onStatus_(std::move(onStatus)) {
-    tcp::endpoint at(asio::ip::make_address_v4(settings.internal.host), settings.internal.port);
+    tcp::endpoint at(asio::ip::make_address_v4(settings.internalEndpoint.host), settings.internalEndpoint.port);
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(at);
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -98,7 +98,7 @@
             due.push_back(objective.withinS + spec.estimatedDurationS);
         if (objective.jobClass != spec.jobClass) continue;
         if (objective.kind == "deadline" && spec.deadlineS)
-            due.push_back(*spec.deadlineS * (objective.times > 0 ? objective.times : 1));
+            due.push_back(*spec.deadlineS * (objective.deadlineMultiple > 0 ? objective.deadlineMultiple : 1));
         if (objective.kind == "finished" && within) due.push_back(objective.withinS);
         if (objective.kind == "wait" && within) due.push_back(objective.withinS + spec.estimatedDurationS);
     }
--- a/src/service/state_reader.cpp
+++ b/src/service/state_reader.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 double least_read_interval(const config::Settings& settings) {
-    return kReadsOfAnInterval * settings.size() / settings.stateRps;
+    return kReadsOfAnInterval * settings.controller_count() / settings.stateRps;
 }
 
 asio::awaitable<void> StateReader::run() {
--- a/src/service/user_api.cpp
+++ b/src/service/user_api.cpp
@@ -36,7 +36,7 @@
 
 // Why the submission cannot be accepted; nothing if it can.
 std::optional<Response> UserApi::objection(const ParsedJob& parsed) const {
-    if (auto* invalid = std::get_if<wire::Invalid>(&parsed)) return refusal(400, invalid->reason);
+    if (auto* invalid = std::get_if<wire::JobSpecError>(&parsed)) return refusal(400, invalid->reason);
     bool unsure = false;
     auto never = context_.core.never_runs(std::get<wire::JobSpec>(parsed), unsure);
     if (never) return refusal(422, *never);
@@ -46,8 +46,8 @@
 
 // Refuses a submission, unless it repeats one that was accepted.
 asio::awaitable<Response> UserApi::refuse(wire::Json body, Response refusal) {
-    auto id = wire::text(body, "ref");
-    if (id && wire::valid_job_ref(*id)) {
+    auto id = wire::get_string(body, "ref");
+    if (id && wire::valid_job_id(*id)) {
         auto repeat = co_await repeat_answer(*id);
         if (repeat) co_return *repeat;
     }
--- a/src/service/user_api.hpp
+++ b/src/service/user_api.hpp
@@ -32,7 +32,7 @@
     asio::awaitable<api::Response> cancel(std::string id);
 
   private:
-    using ParsedJob = std::variant<wire::JobSpec, wire::Invalid>;
+    using ParsedJob = std::variant<wire::JobSpec, wire::JobSpecError>;
 
     asio::awaitable<bool> state_is_current();
     asio::awaitable<std::optional<api::Response>> repeat_answer(std::string id);
--- a/src/state/quota_shares.cpp
+++ b/src/state/quota_shares.cpp
@@ -34,7 +34,7 @@
     Use assigned;
     for (const auto& [name, share] : shares) assigned += share;
     const Use unassigned = need.limit - assigned;
-    const std::int64_t members = settings.size();
+    const std::int64_t members = settings.controller_count();
     Use grown = shares[need.member];
     if (!grow(grown.cores, need.needed.cores, unassigned.cores, members)) return false;
     if (!grow(grown.gpus, need.needed.gpus, unassigned.gpus, members)) return false;
@@ -43,7 +43,7 @@
 }
 
 QuotaShares redistribute_shares(const TeamRecord& team, const QuotaNeed& need, const config::Settings& settings) {
-    const std::int64_t members = settings.size();
+    const std::int64_t members = settings.controller_count();
     const Use unused = need.limit - need.total;
     const Use equalPart{unused.cores / members, unused.gpus / members};
     QuotaShares shares;
--- a/src/state/records.cpp
+++ b/src/state/records.cpp
@@ -106,11 +106,11 @@
     std::vector<std::pair<std::string, std::uint64_t>> leaders;
     std::vector<std::string> machineTypes;
     std::vector<HostEntry> hosts;
-    if (const Json* list = wire::list(data, "k"))
+    if (const Json* list = wire::get_array(data, "k"))
         for (const Json& k : *list) leaders.emplace_back(k[0].get<std::string>(), k[1].get<std::uint64_t>());
-    if (const Json* list = wire::list(data, "b"))
+    if (const Json* list = wire::get_array(data, "b"))
         for (const Json& b : *list) machineTypes.push_back(b.get<std::string>());
-    const Json* list = wire::list(data, "h");
+    const Json* list = wire::get_array(data, "h");
     if (!list) return hosts;
     for (const Json& e : *list) {
         HostEntry h;
@@ -203,10 +203,10 @@
 
 ChunkRecord ChunkRecord::decode(const Json& data) {
     ChunkRecord record;
-    if (const Json* doneRanges = wire::list(data, "d"))
+    if (const Json* doneRanges = wire::get_array(data, "d"))
         for (const Json& r : *doneRanges)
             record.done.emplace_back(r[0].get<std::uint32_t>(), r[1].get<std::uint32_t>());
-    const Json* list = wire::list(data, "e");
+    const Json* list = wire::get_array(data, "e");
     if (!list) return record;
     for (const Json& e : *list) {
         Entry entry;
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -209,9 +209,9 @@
     if (!data || revision <= typesRevision_) return;
     typesRevision_ = revision;
     types_.clear();
-    if (const Json* list = wire::list(*data, "builds"))
+    if (const Json* list = wire::get_array(*data, "builds"))
         for (const Json& entry : *list)
-            if (auto machineType = wire::parse_type(entry)) types_[machineType->typeName] = *machineType;
+            if (auto machineType = wire::parse_machine_type(entry)) types_[machineType->typeName] = *machineType;
     for (auto& [name, host] : hosts_)
         if (const auto* machineType = type(host->machineType)) host->cache.set_capacity(machineType->cacheGb);
 }
@@ -219,7 +219,7 @@
 void StateCache::apply_job(const std::string& id, const Json* data, std::uint64_t revision) {
     if (!data) return;  // jobs are kept for ever
     if (auto f = finals_.find(id); f != finals_.end() && revision <= f->second.revision) return;
-    if (auto phase = wire::text(*data, "f")) {
+    if (auto phase = wire::get_string(*data, "f")) {
         finals_[id] = {*phase == "done" ? JobState::done : JobState::aborted, revision};
         if (auto it = jobs_.find(id); it != jobs_.end()) it->second->state.become(finals_[id].state);
         drop_if_over(id);
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -38,8 +38,8 @@
     std::size_t shards = 0;
     for (const auto& [key, edit] : shards_) shards += edit.size.bytes();
     return this->writes() + writes <= rules_.limits.transactionOperations &&
-           static_cast<int>(preconditions_.size()) + conditions <= rules_.limits.conditions() &&
-           bytes_ + shards + bytes <= wire::kBodyLimit * 2 / 3;
+           static_cast<int>(preconditions_.size()) + conditions <= rules_.limits.max_preconditions() &&
+           bytes_ + shards + bytes <= wire::kMaxBodyBytes * 2 / 3;
 }
 
 bool TransactionBuilder::has(const std::string& path) const {
@@ -168,7 +168,7 @@
     if (reservation == quotaReservations_.end() || !reservation->second.moved) ++cost.writes;
     if (bound_across_chunks(job)) ++cost.writes;
     cost.bytes = kTaskBytes * tasks.size() + cost.chunks.size() * 200;
-    cost.conditions = static_cast<int>(cost.chunks.size() + 3) + settings_.size();
+    cost.conditions = static_cast<int>(cost.chunks.size() + 3) + settings_.controller_count();
     cost.shards = static_cast<int>(shards.size());
     return cost;
 }
@@ -246,7 +246,7 @@
     bool all = room(2 + chunks, conditions, 400);
     // A job of many chunks leaves them behind for garbage collection: what says that it is over always fits one
     // transaction.
-    bool never = 2 + chunks > rules_.limits.transactionOperations || conditions >= rules_.limits.conditions();
+    bool never = 2 + chunks > rules_.limits.transactionOperations || conditions >= rules_.limits.max_preconditions();
     if (!all && !((never || writes() == 0) && room(2, 1, 400))) return false;
     require(keys::active(job.id), job.activeRevision);
     set(keys::job(job.id), {{"f", to == JobState::done ? "done" : "aborted"}});
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -29,7 +29,7 @@
         case kUnavailable:
             return Outcome::unavailable;
         case kMalformed:
-            return body && wire::text(*body, "error") == "no such lease" ? Outcome::no_lease : Outcome::malformed;
+            return body && wire::get_string(*body, "error") == "no such lease" ? Outcome::no_lease : Outcome::malformed;
         default:
             return Outcome::unknown;
     }
@@ -37,11 +37,11 @@
 
 Change parse_change(const Json& entry) {
     Change change;
-    change.revision = wire::count(entry, "stamp").value_or(0);
-    if (auto set = wire::text(entry, "set")) {
+    change.revision = wire::get_unsigned(entry, "stamp").value_or(0);
+    if (auto set = wire::get_string(entry, "set")) {
         change.path = *set;
         change.data = entry.value("data", Json());
-    } else if (auto removed = wire::text(entry, "remove")) {
+    } else if (auto removed = wire::get_string(entry, "remove")) {
         change.path = *removed;
     }
     return change;
@@ -51,7 +51,7 @@
     Change change;
     change.path = entry.value("path", "");
     change.data = entry.value("data", Json());
-    change.revision = wire::count(entry, "stamp").value_or(0);
+    change.revision = wire::get_unsigned(entry, "stamp").value_or(0);
     return change;
 }
 
@@ -113,10 +113,10 @@
 }
 
 Client::Client(asio::io_context& io, const config::Settings& settings)
-    : http_(io, settings.state),
-      longPoll_(io, settings.state),
-      requests_(settings.stateRps, settings.size(), net::steady_now()),
-      writes_(settings.stateWriteRps, settings.size(), net::steady_now()) {}
+    : http_(io, settings.stateEndpoint),
+      longPoll_(io, settings.stateEndpoint),
+      requests_(settings.stateRps, settings.controller_count(), net::steady_now()),
+      writes_(settings.stateWriteRps, settings.controller_count(), net::steady_now()) {}
 
 void Client::set_write_rate(double rps) {
     writes_.set_total(rps, net::steady_now());
@@ -147,7 +147,7 @@
     if (reply.outcome == net::Reply::Outcome::not_sent) result.outcome = Outcome::unavailable;
     if (!reply.answered()) co_return result;
     auto body = wire::decode(reply.body);
-    if (body) result.revision = wire::count(*body, "epoch").value_or(0);
+    if (body) result.revision = wire::get_unsigned(*body, "epoch").value_or(0);
     result.outcome = outcome_of(reply.status, body, result.revision);
     if (reply.status == kOk) writes_.served(net::steady_now());
     if (result.outcome == Outcome::busy) writes_.refused(net::steady_now());
@@ -167,8 +167,8 @@
     auto body = wire::decode(reply.body);
     if (!body) co_return result;
     result.kind = FollowResult::Kind::ok;
-    result.revision = wire::count(*body, "epoch").value_or(0);
-    if (const Json* changes = wire::list(*body, "news"))
+    result.revision = wire::get_unsigned(*body, "epoch").value_or(0);
+    if (const Json* changes = wire::get_array(*body, "news"))
         for (const Json& entry : *changes) result.changes.push_back(parse_change(entry));
     co_return result;
 }
@@ -182,15 +182,15 @@
         if (!reply.ok()) co_return std::nullopt;
         auto body = wire::decode(reply.body);
         if (!body) co_return std::nullopt;
-        range.last = wire::count(*body, "epoch").value_or(0);
+        range.last = wire::get_unsigned(*body, "epoch").value_or(0);
         if (!range.first) range.first = range.last;
-        if (const Json* pairs = wire::list(*body, "pairs"))
+        if (const Json* pairs = wire::get_array(*body, "pairs"))
             for (const Json& entry : *pairs) {
                 const Change change = parse_pair(entry);
                 lastPath = change.path;
                 each(change);
             }
-        if (!wire::flag(*body, "hasNext").value_or(false)) break;
+        if (!wire::get_bool(*body, "hasNext").value_or(false)) break;
     }
     co_return range;
 }
@@ -202,7 +202,7 @@
     if (!reply.ok()) co_return std::nullopt;
     auto body = wire::decode(reply.body);
     if (!body) co_return std::nullopt;
-    co_return wire::count(*body, "hold");
+    co_return wire::get_unsigned(*body, "hold");
 }
 
 asio::awaitable<Client::Renewal> Client::renew(std::uint64_t leaseId, double timeoutS) {
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -53,13 +53,13 @@
     return root;
 }
 
-std::optional<std::string> text(const Json& map, const char* key) {
+std::optional<std::string> get_string(const Json& map, const char* key) {
     const Json* value = find(map, key);
     if (!value || !value->is_string()) return std::nullopt;
     return value->get<std::string>();
 }
 
-std::optional<double> amount(const Json& map, const char* key) {
+std::optional<double> get_number(const Json& map, const char* key) {
     const Json* value = find(map, key);
     if (!value || !value->is_number()) return std::nullopt;
     double number = value->get<double>();
@@ -67,7 +67,7 @@
     return number;
 }
 
-std::optional<std::uint64_t> count(const Json& map, const char* key) {
+std::optional<std::uint64_t> get_unsigned(const Json& map, const char* key) {
     const Json* value = find(map, key);
     if (!value) return std::nullopt;
     if (value->is_number_unsigned()) return value->get<std::uint64_t>();
@@ -75,13 +75,13 @@
     return std::nullopt;
 }
 
-std::optional<bool> flag(const Json& map, const char* key) {
+std::optional<bool> get_bool(const Json& map, const char* key) {
     const Json* value = find(map, key);
     if (!value || !value->is_boolean()) return std::nullopt;
     return value->get<bool>();
 }
 
-const Json* list(const Json& map, const char* key) {
+const Json* get_array(const Json& map, const char* key) {
     const Json* value = find(map, key);
     return value && value->is_array() ? value : nullptr;
 }
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-inline constexpr std::size_t kBodyLimit = std::size_t{64} * 1024;  // bytes of a request's body, measured as JSON
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;  // bytes of a request's body, measured as JSON
 
 std::string encode(const Json& value);
 
@@ -22,13 +22,13 @@
 std::optional<Json> decode(std::string_view bytes);
 
 // Fields of a map: nothing when the field is missing, null or of another type.
-std::optional<std::string> text(const Json& map, const char* key);
+std::optional<std::string> get_string(const Json& map, const char* key);
 // Any finite number.
-std::optional<double> amount(const Json& map, const char* key);
+std::optional<double> get_number(const Json& map, const char* key);
 // An integer of at least 0.
-std::optional<std::uint64_t> count(const Json& map, const char* key);
-std::optional<bool> flag(const Json& map, const char* key);
+std::optional<std::uint64_t> get_unsigned(const Json& map, const char* key);
+std::optional<bool> get_bool(const Json& map, const char* key);
 // Points into the map; null for nothing.
-const Json* list(const Json& map, const char* key);
+const Json* get_array(const Json& map, const char* key);
 
 }  // namespace wellstair::wire
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -36,11 +36,11 @@
   public:
     explicit FieldValidator(const Json& body) : body_(body) {}
 
-    const std::optional<Invalid>& error() const { return error_; }
+    const std::optional<JobSpecError>& error() const { return error_; }
 
     // Records that the field is wrong unless an earlier one was.
     void refuse(const char* field, const std::string& expected) {
-        if (!error_) error_ = Invalid{field, field + (" must " + expected)};
+        if (!error_) error_ = JobSpecError{field, field + (" must " + expected)};
     }
 
     bool absent(const char* field) const {
@@ -49,7 +49,7 @@
     }
 
     void read_text(const char* field, std::string& target) {
-        auto value = text(body_, field);
+        auto value = get_string(body_, field);
         if (value && !value->empty() && value->size() <= kMaxTextBytes)
             target = std::move(*value);
         else
@@ -57,7 +57,7 @@
     }
 
     void read_amount(const char* field, double& target) {
-        auto value = amount(body_, field);
+        auto value = get_number(body_, field);
         if (value && *value >= 0 && *value <= kMaxAmount)
             target = *value;
         else
@@ -65,7 +65,7 @@
     }
 
     void read_flag(const char* field, bool& target) {
-        if (auto value = flag(body_, field))
+        if (auto value = get_bool(body_, field))
             target = *value;
         else
             refuse(field, "be true or false");
@@ -73,15 +73,15 @@
 
     template <class Enum, std::size_t N>
     void read_enum(const char* field, const std::array<const char*, N>& names, const char* expected, Enum& target) {
-        if (auto value = value_of<Enum>(names, text(body_, field).value_or("")))
+        if (auto value = value_of<Enum>(names, get_string(body_, field).value_or("")))
             target = *value;
         else
             refuse(field, expected);
     }
 
     void read_task_count(const char* field, std::uint32_t& target) {
-        auto value = count(body_, field);
-        if (value && *value >= 1 && *value <= kMaxTasks)
+        auto value = get_unsigned(body_, field);
+        if (value && *value >= 1 && *value <= kMaxTasksPerJob)
             target = static_cast<std::uint32_t>(*value);
         else
             refuse(field, "be an integer from 1 to 100000");
@@ -89,7 +89,7 @@
 
     void read_optional_texts(const char* field, std::optional<std::vector<std::string>>& target) {
         if (absent(field)) return;
-        const Json* values = list(body_, field);
+        const Json* values = get_array(body_, field);
         if (values && std::all_of(values->begin(), values->end(), [](const Json& value) { return value.is_string(); }))
             target = values->get<std::vector<std::string>>();
         else
@@ -98,24 +98,24 @@
 
     void read_optional_zone(const char* field, std::optional<std::string>& target) {
         if (absent(field)) return;
-        target = text(body_, field);
+        target = get_string(body_, field);
         if (!target) refuse(field, "be the name of a zone, or null");
     }
 
     void read_optional_amount(const char* field, std::optional<double>& target) {
         if (absent(field)) return;
-        target = amount(body_, field);
+        target = get_number(body_, field);
         if (!target || *target < 0) refuse(field, "be a number of at least 0, or null");
     }
 
   private:
     const Json& body_;
-    std::optional<Invalid> error_;
+    std::optional<JobSpecError> error_;
 };
 
 void read_identity(FieldValidator& fields, JobSpec& spec) {
     fields.read_text("ref", spec.id);
-    if (!valid_job_ref(spec.id)) fields.refuse("ref", "look like j-000412");
+    if (!valid_job_id(spec.id)) fields.refuse("ref", "look like j-000412");
     fields.read_text("lane", spec.jobClass);
     fields.read_text("crew", spec.team);
     fields.read_text("bundle", spec.image);
@@ -149,17 +149,17 @@
 }
 
 std::optional<TaskStatus> parse_task_status(const Json& body) {
-    auto id = parse_task_id(text(body, "step").value_or(""));
-    auto attempt = count(body, "try");
-    auto phase = value_of<TaskPhase>(kTaskPhases, text(body, "phase").value_or(""));
+    auto id = parse_task_id(get_string(body, "step").value_or(""));
+    auto attempt = get_unsigned(body, "try");
+    auto phase = value_of<TaskPhase>(kTaskPhases, get_string(body, "phase").value_or(""));
     if (!id || !attempt || !phase) return std::nullopt;
     TaskStatus status;
     status.job = std::move(id->job);
     status.index = id->index;
     status.attempt = static_cast<std::uint32_t>(*attempt);
     status.phase = *phase;
-    status.cause = value_of<Cause>(kCauses, text(body, "cause").value_or("")).value_or(Cause::none);
-    status.checkpointed = flag(body, "kept").value_or(false);
+    status.cause = value_of<Cause>(kCauses, get_string(body, "cause").value_or("")).value_or(Cause::none);
+    status.checkpointed = get_bool(body, "kept").value_or(false);
     return status;
 }
 
@@ -185,15 +185,15 @@
     return name_of(kCommandTypes, type);
 }
 
-bool valid_job_ref(std::string_view ref) {
-    if (ref.size() < 3 || ref.size() > 64 || !ref.starts_with("j-")) return false;
-    return std::all_of(ref.begin() + 2, ref.end(), [](char c) {
+bool valid_job_id(std::string_view id) {
+    if (id.size() < 3 || id.size() > 64 || !id.starts_with("j-")) return false;
+    return std::all_of(id.begin() + 2, id.end(), [](char c) {
         return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' || c == '_';
     });
 }
 
-std::variant<JobSpec, Invalid> parse_job(const Json& body) {
-    if (!body.is_object()) return Invalid{"", "the body must be a map"};
+std::variant<JobSpec, JobSpecError> parse_job(const Json& body) {
+    if (!body.is_object()) return JobSpecError{"", "the body must be a map"};
     FieldValidator fields(body);
     JobSpec spec;
     read_identity(fields, spec);
@@ -243,21 +243,21 @@
 }
 
 std::optional<Heartbeat> parse_heartbeat(const Json& body) {
-    auto host = text(body, "host");
-    auto agentEpoch = count(body, "tenure");
-    auto sequence = count(body, "tick");
+    auto host = get_string(body, "host");
+    auto agentEpoch = get_unsigned(body, "tenure");
+    auto sequence = get_unsigned(body, "tick");
     if (!host || host->empty() || host->size() > kMaxHostNameBytes || !agentEpoch || !sequence) return std::nullopt;
     Heartbeat heartbeat;
     heartbeat.host = std::move(*host);
-    heartbeat.address = text(body, "address").value_or("");
-    heartbeat.machineType = text(body, "build").value_or("");
-    heartbeat.zone = text(body, "hall").value_or("");
-    heartbeat.spot = flag(body, "loaners").value_or(false);
+    heartbeat.address = get_string(body, "address").value_or("");
+    heartbeat.machineType = get_string(body, "build").value_or("");
+    heartbeat.zone = get_string(body, "hall").value_or("");
+    heartbeat.spot = get_bool(body, "loaners").value_or(false);
     heartbeat.agentEpoch = *agentEpoch;
     heartbeat.sequence = *sequence;
-    heartbeat.fencingToken = count(body, "baton").value_or(0);
-    heartbeat.preemptionNoticeS = amount(body, "reclaimS");
-    if (const Json* tasks = list(body, "steps")) {
+    heartbeat.fencingToken = get_unsigned(body, "baton").value_or(0);
+    heartbeat.preemptionNoticeS = get_number(body, "reclaimS");
+    if (const Json* tasks = get_array(body, "steps")) {
         heartbeat.tasks.reserve(tasks->size());
         for (const Json& task : *tasks) {
             auto status = parse_task_status(task);
@@ -281,43 +281,43 @@
     return body;
 }
 
-std::optional<MachineType> parse_type(const Json& body) {
-    auto typeName = text(body, "sku");
+std::optional<MachineType> parse_machine_type(const Json& body) {
+    auto typeName = get_string(body, "sku");
     if (!typeName) return std::nullopt;
     MachineType type;
     type.typeName = *typeName;
-    type.cores = amount(body, "cores").value_or(0);
-    type.gpus = amount(body, "gpus").value_or(0);
-    type.ramGb = amount(body, "ramGb").value_or(0);
-    type.cacheGb = amount(body, "cacheGb").value_or(0);
-    type.fetchGbPerS = amount(body, "fetchGbPerS").value_or(0);
-    type.rate = amount(body, "rate").value_or(0);
-    type.lowPrice = amount(body, "lowPrice").value_or(0);
-    type.startupS = amount(body, "startupS").value_or(0);
-    if (const Json* zones = list(body, "halls"))
+    type.cores = get_number(body, "cores").value_or(0);
+    type.gpus = get_number(body, "gpus").value_or(0);
+    type.ramGb = get_number(body, "ramGb").value_or(0);
+    type.cacheGb = get_number(body, "cacheGb").value_or(0);
+    type.fetchGbPerS = get_number(body, "fetchGbPerS").value_or(0);
+    type.price = get_number(body, "rate").value_or(0);
+    type.spotPrice = get_number(body, "lowPrice").value_or(0);
+    type.startupS = get_number(body, "startupS").value_or(0);
+    if (const Json* zones = get_array(body, "halls"))
         for (const Json& zone : *zones)
             if (zone.is_string()) type.zones.push_back(zone.get<std::string>());
     return type;
 }
 
 Json to_json(const MachineType& type) {
-    return {{"sku", type.typeName}, {"cores", type.cores},       {"gpus", type.gpus},
-            {"ramGb", type.ramGb},  {"cacheGb", type.cacheGb},   {"fetchGbPerS", type.fetchGbPerS},
-            {"rate", type.rate},    {"lowPrice", type.lowPrice}, {"startupS", type.startupS},
+    return {{"sku", type.typeName}, {"cores", type.cores},        {"gpus", type.gpus},
+            {"ramGb", type.ramGb},  {"cacheGb", type.cacheGb},    {"fetchGbPerS", type.fetchGbPerS},
+            {"rate", type.price},   {"lowPrice", type.spotPrice}, {"startupS", type.startupS},
             {"halls", type.zones}};
 }
 
 std::optional<Machine> parse_machine(const Json& body) {
-    auto name = text(body, "ref");
+    auto name = get_string(body, "ref");
     if (!name) return std::nullopt;
     Machine machine;
     machine.name = *name;
-    machine.machineType = text(body, "build").value_or("");
-    machine.zone = text(body, "hall").value_or("");
-    machine.phase = text(body, "phase").value_or("");
-    machine.address = text(body, "address").value_or("");
-    machine.spot = flag(body, "loaners").value_or(false);
-    machine.heldS = amount(body, "heldS").value_or(0);
+    machine.machineType = get_string(body, "build").value_or("");
+    machine.zone = get_string(body, "hall").value_or("");
+    machine.phase = get_string(body, "phase").value_or("");
+    machine.address = get_string(body, "address").value_or("");
+    machine.spot = get_bool(body, "loaners").value_or(false);
+    machine.ageS = get_number(body, "heldS").value_or(0);
     return machine;
 }
 
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -33,7 +33,7 @@
     std::string image;                                 // `bundle` on the wire
     JobKind kind = JobKind::batch;                     // `shape` on the wire
     PriorityClass priority = PriorityClass::standard;  // `rank` on the wire
-    std::uint32_t taskCount = 0;                       // `steps` on the wire, 1 to kMaxTasks
+    std::uint32_t taskCount = 0;                       // `steps` on the wire, 1 to kMaxTasksPerJob
 
     double cores = 0, gpus = 0, ramGb = 0;                 // of each task, same names on the wire; gigabytes
     double imageGb = 0;                                    // `imageGb` on the wire, gigabytes
@@ -52,17 +52,17 @@
 };
 
 // Why a job specification was refused.
-struct Invalid {
+struct JobSpecError {
     std::string field;   // its name on the wire; empty: the body as a whole
     std::string reason;  // a full sentence for the user, with the field's name in it
 };
 
-inline constexpr std::uint32_t kMaxTasks = 100000;  // of one job
+inline constexpr std::uint32_t kMaxTasksPerJob = 100000;  // of one job
 
 // Whether the text has the form of a job's id: "j-" and letters, digits, '-' and '_', 3 to 64 bytes in all.
-bool valid_job_ref(std::string_view ref);
+bool valid_job_id(std::string_view id);
 // Returns the first error in the order in which the fields are checked.
-std::variant<JobSpec, Invalid> parse_job(const Json& body);
+std::variant<JobSpec, JobSpecError> parse_job(const Json& body);
 Json to_json(const JobSpec& spec);
 
 // `phase` on the wire; `checkpointing` is `flushing` there.
@@ -135,13 +135,13 @@
     double cores = 0, gpus = 0;      // same names on the wire
     double ramGb = 0, cacheGb = 0;   // same names on the wire, gigabytes of memory and of image cache
     double fetchGbPerS = 0;          // `fetchGbPerS` on the wire: how fast images are pulled
-    double rate = 0;                 // `rate` on the wire: price
-    double lowPrice = 0;             // `lowPrice` on the wire: price as a spot machine
+    double price = 0;                // `rate` on the wire: price
+    double spotPrice = 0;            // `lowPrice` on the wire: price as a spot machine
     double startupS = 0;             // `startupS` on the wire, seconds from the order until it is ready
     std::vector<std::string> zones;  // `halls` on the wire: where it is offered
 };
 
-std::optional<MachineType> parse_type(const Json& body);
+std::optional<MachineType> parse_machine_type(const Json& body);
 Json to_json(const MachineType& type);
 
 // A machine as the cloud lists it.
@@ -152,7 +152,7 @@
     std::string phase;        // `phase` on the wire
     std::string address;      // `address` on the wire
     bool spot = false;        // `loaners` on the wire
-    double heldS = 0;         // `heldS` on the wire, seconds since it was rented
+    double ageS = 0;          // `heldS` on the wire, seconds since it was rented
 };
 
 // Nothing if the name is missing.
--- a/tests/api_server_test.cpp
+++ b/tests/api_server_test.cpp
@@ -103,7 +103,7 @@
 }
 
 TEST_F(ApiServer, RefusesABodyBeyondTheLimit) {
-    EXPECT_EQ(send(http::verb::post, "/v2/runs", std::string(wire::kBodyLimit + 1, 'x')).result_int(), 413u);
+    EXPECT_EQ(send(http::verb::post, "/v2/runs", std::string(wire::kMaxBodyBytes + 1, 'x')).result_int(), 413u);
 }
 
 }  // namespace
--- a/tests/golden_bytes_test.cpp
+++ b/tests/golden_bytes_test.cpp
@@ -81,9 +81,9 @@
 TEST_F(GoldenBytes, MachineTypes) {
     wire::MachineType type;
     type.typeName = "g8", type.cores = 8, type.gpus = 2, type.ramGb = 32, type.cacheGb = 50, type.fetchGbPerS = 0.5;
-    type.rate = 9.25, type.lowPrice = 3.5, type.startupS = 20, type.zones = {"a", "b"};
+    type.price = 9.25, type.spotPrice = 3.5, type.startupS = 20, type.zones = {"a", "b"};
     check("machine-type", to_json(type));
-    check("machine-type-read", to_json(*wire::parse_type(to_json(type))));
+    check("machine-type-read", to_json(*wire::parse_machine_type(to_json(type))));
 }
 
 // What is read of a heartbeat and of the cloud's list, field by field.
@@ -118,7 +118,7 @@
                                   {"heldS", 7.5}});
     ASSERT_TRUE(m);
     check("machine-read", m->name + " " + m->machineType + " " + m->zone + " " + m->phase + " " + m->address + " " +
-                              (m->spot ? "y" : "n") + " " + std::to_string(m->heldS));
+                              (m->spot ? "y" : "n") + " " + std::to_string(m->ageS));
 }
 
 TEST_F(GoldenBytes, Records) {
--- a/tests/golden_requests_test.cpp
+++ b/tests/golden_requests_test.cpp
@@ -27,7 +27,7 @@
 
     config::Settings settings() {
         config::Settings s = test::site_settings();
-        s.state = s.cloud = server_.endpoint();
+        s.stateEndpoint = s.cloudEndpoint = server_.endpoint();
         s.cloudRps = 1000;
         return s;
     }
--- a/tests/in_memory_state_store.cpp
+++ b/tests/in_memory_state_store.cpp
@@ -27,7 +27,7 @@
 std::string InMemoryStateStore::too_large(const Json& transaction) const {
     constexpr std::size_t kTransactionBytes = 64 * 1024;
     if (transaction["apply"].size() > static_cast<std::size_t>(limits->transactionOperations)) return "operations";
-    if (transaction["when"].size() > static_cast<std::size_t>(limits->conditions())) return "conditions";
+    if (transaction["when"].size() > static_cast<std::size_t>(limits->max_preconditions())) return "conditions";
     if (transaction.dump().size() > kTransactionBytes) return "transaction";
     for (const Json& operation : transaction["apply"])
         if (operation.contains("data") && operation["data"].dump().size() > limits->value_bytes())
--- a/tests/service_fixture.hpp
+++ b/tests/service_fixture.hpp
@@ -22,7 +22,7 @@
     static config::Settings fast_settings(const config::Endpoint& stateService) {
         config::Settings s = site_settings();
         s.member = "ctl-a";
-        s.state = stateService;
+        s.stateEndpoint = stateService;
         s.stateRps = s.stateWriteRps = 2000;
         s.leaseS = 1.2;  // the member's lease is renewed ten times a second
         return s;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -23,9 +23,9 @@
     config::Settings make_settings() const {
         config::Settings s = site_settings();
         s.member = "ctl-a";
-        s.front = s.internal = {"127.0.0.1", 0};
-        s.state = store.endpoint();
-        s.cloud = cloud.endpoint();
+        s.publicEndpoint = s.internalEndpoint = {"127.0.0.1", 0};
+        s.stateEndpoint = store.endpoint();
+        s.cloudEndpoint = cloud.endpoint();
         s.stateRps = s.stateWriteRps = s.cloudRps = 2000;
         s.heartbeatIntervalS = 0.1;
         return s;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -123,9 +123,9 @@
     Settings settings = load_settings(path);
     std::remove(path.c_str());
     EXPECT_EQ(settings.skewS, 0.25);
-    EXPECT_EQ(settings.size(), 2);
+    EXPECT_EQ(settings.controller_count(), 2);
     EXPECT_EQ(settings.members[0].peer.port, 8081);
-    EXPECT_EQ(settings.cloud.host, "10.2.0.2");
+    EXPECT_EQ(settings.cloudEndpoint.host, "10.2.0.2");
     ASSERT_TRUE(settings.team("red"));
     EXPECT_EQ(settings.team("red")->cpusMax, 20);
     EXPECT_FALSE(settings.team("blue"));
--- a/tests/simulation/cluster_controllers.cpp
+++ b/tests/simulation/cluster_controllers.cpp
@@ -44,7 +44,7 @@
     controller.readBarrier = leadership::CancellationReadBarrier(controller.incarnation * kReadRequestsPerProcess);
     controller.runsOldVersion = !controller.replaced;
     const bool limitsAnnounced = state_.scenario.upgrade && !controller.runsOldVersion;
-    controller.settings.nextState = limitsAnnounced ? std::optional(kLoweredStateLimits) : std::nullopt;
+    controller.settings.nextStateLimits = limitsAnnounced ? std::optional(kLoweredStateLimits) : std::nullopt;
     controller.core =
         std::make_unique<controller::Core>(controller.settings, controller::Tunables{}, controller.incarnation);
     controller.lastStoreAnswerS = state_.nowS;
--- a/tests/site_settings.cpp
+++ b/tests/site_settings.cpp
@@ -34,8 +34,8 @@
     settings.teams = {{"red", 16, 16, 2, 4}, {"blue", 8, 0, 0, 0}};
     settings.heartbeatIntervalS = 3;
     settings.leaseS = 20;
-    settings.gangWaitS = 30;
-    settings.gangPeerS = 8;
+    settings.gangAssemblyTimeoutS = 30;
+    settings.gangPeerTimeoutS = 8;
     settings.cancelS = 45;
     settings.stateRps = 100;
     settings.stateWriteRps = 50;
@@ -43,8 +43,8 @@
     settings.transactionOperations = 16;
     settings.cloudRps = 5;
     settings.listLagS = 3;
-    settings.cores = 1;
-    settings.ramMb = 100;
+    settings.processCores = 1;
+    settings.processRamMb = 100;
     settings.maxSockets = 1000;
     return settings;
 }
--- a/tests/trace_language.cpp
+++ b/tests/trace_language.cpp
@@ -70,7 +70,7 @@
         job[pair.key] = value.is_discarded() ? Json(pair.value) : value;
     }
     auto parsed = wire::parse_job(job);
-    if (auto* invalid = std::get_if<wire::Invalid>(&parsed)) throw std::runtime_error(invalid->reason);
+    if (auto* invalid = std::get_if<wire::JobSpecError>(&parsed)) throw std::runtime_error(invalid->reason);
     return std::get<wire::JobSpec>(parsed);
 }
 
--- a/tests/upgrade_compatibility_test.cpp
+++ b/tests/upgrade_compatibility_test.cpp
@@ -18,7 +18,7 @@
 
 TEST(Upgrade, WritesTheSameBytesAsProductionBeforeTheSwitch) {
     config::Settings settings = site_settings();
-    settings.nextState = kNextLimits;
+    settings.nextStateLimits = kNextLimits;
     StoredStory story(settings, [](const controller::Core& core, const config::Settings&) {
         wire::Json data = core.member_data().encode();
         EXPECT_EQ(data["v"], state::kLayoutWithSplitShards);
--- a/tests/upgrade_fixture.cpp
+++ b/tests/upgrade_fixture.cpp
@@ -16,7 +16,7 @@
     settings_.location = "a";
     settings_.members = {{"b", "b", {}}};
     settings_.teams = {{"red", 16, 400, 0, 0}, {"blue", 8, 0, 0, 0}};
-    settings_.nextState = next;
+    settings_.nextStateLimits = next;
     core_ = std::make_unique<controller::Core>(settings_, controller::Tunables{}, incarnation);
     sync();
     put("ws/members/a", core_->member_data().encode());
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -31,8 +31,8 @@
         Json body = job();
         body.erase(key);
         auto parsed = parse_job(body);
-        ASSERT_TRUE(std::holds_alternative<Invalid>(parsed)) << key;
-        EXPECT_TRUE(std::get<Invalid>(parsed).reason.starts_with(key)) << std::get<Invalid>(parsed).reason;
+        ASSERT_TRUE(std::holds_alternative<JobSpecError>(parsed)) << key;
+        EXPECT_TRUE(std::get<JobSpecError>(parsed).reason.starts_with(key)) << std::get<JobSpecError>(parsed).reason;
     }
     for (const char* key : {"builds", "hall", "dueS"}) {
         Json body = job();
@@ -70,9 +70,9 @@
         Json body = job();
         body[row.field] = row.value;
         auto parsed = parse_job(body);
-        ASSERT_TRUE(std::holds_alternative<Invalid>(parsed)) << row.field << " " << row.value;
-        EXPECT_EQ(std::get<Invalid>(parsed).field, row.field);
-        EXPECT_EQ(std::get<Invalid>(parsed).reason, row.reason);
+        ASSERT_TRUE(std::holds_alternative<JobSpecError>(parsed)) << row.field << " " << row.value;
+        EXPECT_EQ(std::get<JobSpecError>(parsed).field, row.field);
+        EXPECT_EQ(std::get<JobSpecError>(parsed).reason, row.reason);
     }
 }
 
@@ -86,8 +86,8 @@
 TEST(Wire, TheFirstOfSeveralErrorsIsTold) {
     Json body = job();
     body["cores"] = body["crew"] = body["together"] = nullptr;
-    EXPECT_EQ(std::get<Invalid>(parse_job(body)).reason, "crew must be a text of 1 to 200 bytes");
-    EXPECT_EQ(std::get<Invalid>(parse_job(Json::array())).reason, "the body must be a map");
+    EXPECT_EQ(std::get<JobSpecError>(parse_job(body)).reason, "crew must be a text of 1 to 200 bytes");
+    EXPECT_EQ(std::get<JobSpecError>(parse_job(Json::array())).reason, "the body must be a map");
 }
 
 // A service has no run time to estimate; a value that is given is checked and does not count.
@@ -98,7 +98,7 @@
     body.erase("expectS");
     EXPECT_EQ(std::get<JobSpec>(parse_job(body)).estimatedDurationS, 0);
     body["expectS"] = -1;
-    EXPECT_EQ(std::get<Invalid>(parse_job(body)).reason, "expectS must be a number of at least 0");
+    EXPECT_EQ(std::get<JobSpecError>(parse_job(body)).reason, "expectS must be a number of at least 0");
 }
 
 TEST(Wire, TaskIdsSurviveTheRoundTrip) {
