--- a/src/common/stable_hash.hpp
+++ b/src/common/stable_hash.hpp
@@ -1,4 +1,4 @@
-// A hash that is the same in every process: controllers that have to agree without talking rank one another by it.
+// Hash for rendezvous hashing: controllers choose the same owner of a key without exchanging messages.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,8 @@
 
 namespace wellstair {
 
-// FNV-1a over both texts, finished by a multiplicative mix so that similar names spread evenly.
+// The weight of a candidate for a key, equal in every process. An FNV-1a hash of both strings, followed by a
+// multiplicative finalizer that spreads similar names evenly.
 std::uint64_t stable_hash(std::string_view candidate, std::string_view key);
 
 }  // namespace wellstair
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -5,14 +5,14 @@
 namespace wellstair::wire {
 namespace {
 
-constexpr int kMaxDepth = 32;  // of maps and lists in one another
+constexpr int kMaxDepth = 32;  // nesting levels of maps and arrays in a message
 
-// Builds the document and gives up on binary data and on too deep nesting. The base's functions are not virtual: the
-// parser is a template over this class.
-class BoundedDom : public nlohmann::detail::json_sax_dom_parser<Json> {
+// SAX handler that builds the document and rejects binary data and deep nesting. The functions hide those of the base
+// class: they are not virtual, because the parser is a template over its handler.
+class DepthLimitedDomBuilder : public nlohmann::detail::json_sax_dom_parser<Json> {
   public:
     using Base = nlohmann::detail::json_sax_dom_parser<Json>;
-    explicit BoundedDom(Json& root) : Base(root, false) {}
+    explicit DepthLimitedDomBuilder(Json& root) : Base(root, false) {}
 
     bool binary(Json::binary_t&) { return false; }
     bool start_object(std::size_t size) { return ++depth_ <= kMaxDepth && Base::start_object(size); }
@@ -30,6 +30,7 @@
     int depth_ = 0;
 };
 
+// Returns null if the field is missing or null, or if the value is not a map.
 const Json* find(const Json& map, const char* key) {
     if (!map.is_object()) return nullptr;
     auto it = map.find(key);
@@ -47,7 +48,7 @@
 std::optional<Json> decode(std::string_view bytes) {
     if (bytes.empty()) return std::nullopt;
     Json root;
-    BoundedDom builder(root);
+    DepthLimitedDomBuilder builder(root);
     if (!Json::sax_parse(bytes.begin(), bytes.end(), &builder, nlohmann::detail::input_format_t::msgpack, true))
         return std::nullopt;
     return root;
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -7,76 +7,77 @@
 namespace wellstair::wire {
 namespace {
 
-// The names on the wire, in the order of the enum constants.
+// Names on the wire, in the order of the enumerators.
 constexpr std::array kJobKinds = {"batch", "gang", "service"};
 constexpr std::array kPriorityClasses = {"production", "urgent", "standard", "best_effort"};
 constexpr std::array kTaskPhases = {"pulling", "waiting", "running", "flushing", "ended"};
 constexpr std::array kCauses = {"", "done", "halted", "peers", "incomplete", "error", "full", "busy", "unknown"};
 constexpr std::array kCommandTypes = {"start", "halt", "reap"};
 
-constexpr std::size_t kMaxTextBytes = 200;      // of a text in a job specification
-constexpr std::size_t kMaxHostNameBytes = 100;  // in a heartbeat
-constexpr double kMaxAmount = 1e9;              // of a number in a job specification
+constexpr std::size_t kMaxStringBytes = 200;    // limit on strings in a job specification
+constexpr std::size_t kMaxHostNameBytes = 100;  // limit on the host name in a heartbeat
+constexpr double kMaxNumber = 1e9;              // limit on numbers in a job specification
 
 template <class Enum, std::size_t N>
-const char* name_of(const std::array<const char*, N>& names, Enum value) {
+const char* enum_name(const std::array<const char*, N>& names, Enum value) {
     return names[static_cast<std::size_t>(value)];
 }
 
 template <class Enum, std::size_t N>
-std::optional<Enum> value_of(const std::array<const char*, N>& names, std::string_view name) {
+std::optional<Enum> parse_enum(const std::array<const char*, N>& names, std::string_view name) {
     for (std::size_t i = 0; i < N; ++i)
         if (name == names[i]) return static_cast<Enum>(i);
     return std::nullopt;
 }
 
-// Reads the fields of a job specification one after another and keeps the first error. Each `read` function leaves its
-// target as it was if the field is invalid.
+// Reads the fields of a job specification and keeps the first error. The read functions record an error if the field is
+// invalid. Those for required fields then leave the target unchanged.
 class FieldValidator {
   public:
     explicit FieldValidator(const Json& body) : body_(body) {}
 
     const std::optional<JobSpecError>& error() const { return error_; }
 
-    // Records that the field is wrong unless an earlier one was.
-    void refuse(const char* field, const std::string& expected) {
-        if (!error_) error_ = JobSpecError{field, field + (" must " + expected)};
+    // Records an error for the field unless there is an earlier one. `requirement` completes "FIELD must ...".
+    void reject(const char* field, const std::string& requirement) {
+        if (!error_) error_ = JobSpecError{field, field + (" must " + requirement)};
     }
 
+    // Whether the field is missing or null.
     bool absent(const char* field) const {
         auto it = body_.find(field);
         return it == body_.end() || it->is_null();
     }
 
-    void read_text(const char* field, std::string& target) {
+    void read_string(const char* field, std::string& target) {
         auto value = get_string(body_, field);
-        if (value && !value->empty() && value->size() <= kMaxTextBytes)
+        if (value && !value->empty() && value->size() <= kMaxStringBytes)
             target = std::move(*value);
         else
-            refuse(field, "be a text of 1 to 200 bytes");
+            reject(field, "be a string of 1 to 200 bytes");
     }
 
-    void read_amount(const char* field, double& target) {
+    void read_number(const char* field, double& target) {
         auto value = get_number(body_, field);
-        if (value && *value >= 0 && *value <= kMaxAmount)
+        if (value && *value >= 0 && *value <= kMaxNumber)
             target = *value;
         else
-            refuse(field, "be a number of at least 0");
+            reject(field, "be a number from 0 to 1e9");
     }
 
-    void read_flag(const char* field, bool& target) {
+    void read_bool(const char* field, bool& target) {
         if (auto value = get_bool(body_, field))
             target = *value;
         else
-            refuse(field, "be true or false");
+            reject(field, "be true or false");
     }
 
     template <class Enum, std::size_t N>
-    void read_enum(const char* field, const std::array<const char*, N>& names, const char* expected, Enum& target) {
-        if (auto value = value_of<Enum>(names, get_string(body_, field).value_or("")))
+    void read_enum(const char* field, const std::array<const char*, N>& names, const char* requirement, Enum& target) {
+        if (auto value = parse_enum<Enum>(names, get_string(body_, field).value_or("")))
             target = *value;
         else
-            refuse(field, expected);
+            reject(field, requirement);
     }
 
     void read_task_count(const char* field, std::uint32_t& target) {
@@ -84,28 +85,28 @@
         if (value && *value >= 1 && *value <= kMaxTasksPerJob)
             target = static_cast<std::uint32_t>(*value);
         else
-            refuse(field, "be an integer from 1 to 100000");
+            reject(field, "be an integer from 1 to 100000");
     }
 
-    void read_optional_texts(const char* field, std::optional<std::vector<std::string>>& target) {
+    void read_optional_strings(const char* field, std::optional<std::vector<std::string>>& target) {
         if (absent(field)) return;
         const Json* values = get_array(body_, field);
         if (values && std::all_of(values->begin(), values->end(), [](const Json& value) { return value.is_string(); }))
             target = values->get<std::vector<std::string>>();
         else
-            refuse(field, "be a list of machine types, or null");
+            reject(field, "be an array of machine type names, or null");
     }
 
     void read_optional_zone(const char* field, std::optional<std::string>& target) {
         if (absent(field)) return;
         target = get_string(body_, field);
-        if (!target) refuse(field, "be the name of a zone, or null");
+        if (!target) reject(field, "be the name of a zone, or null");
     }
 
-    void read_optional_amount(const char* field, std::optional<double>& target) {
+    void read_optional_number(const char* field, std::optional<double>& target) {
         if (absent(field)) return;
         target = get_number(body_, field);
-        if (!target || *target < 0) refuse(field, "be a number of at least 0, or null");
+        if (!target || *target < 0) reject(field, "be a number of at least 0, or null");
     }
 
   private:
@@ -114,51 +115,52 @@
 };
 
 void read_identity(FieldValidator& fields, JobSpec& spec) {
-    fields.read_text("ref", spec.id);
-    if (!valid_job_id(spec.id)) fields.refuse("ref", "look like j-000412");
-    fields.read_text("lane", spec.jobClass);
-    fields.read_text("crew", spec.team);
-    fields.read_text("bundle", spec.image);
+    fields.read_string("ref", spec.id);
+    if (!valid_job_id(spec.id))
+        fields.reject("ref", "be \"j-\" followed by letters, digits, '-' or '_', 3 to 64 bytes in total");
+    fields.read_string("lane", spec.jobClass);
+    fields.read_string("crew", spec.team);
+    fields.read_string("bundle", spec.image);
     fields.read_enum("shape", kJobKinds, "be batch, gang or service", spec.kind);
     fields.read_enum("rank", kPriorityClasses, "be production, urgent, standard or best_effort", spec.priority);
     fields.read_task_count("steps", spec.taskCount);
 }
 
 void read_resources(FieldValidator& fields, JobSpec& spec) {
-    fields.read_amount("cores", spec.cores);
-    fields.read_amount("gpus", spec.gpus);
-    fields.read_amount("ramGb", spec.ramGb);
-    fields.read_amount("imageGb", spec.imageGb);
+    fields.read_number("cores", spec.cores);
+    fields.read_number("gpus", spec.gpus);
+    fields.read_number("ramGb", spec.ramGb);
+    fields.read_number("imageGb", spec.imageGb);
 }
 
 void read_durations(FieldValidator& fields, JobSpec& spec) {
-    // A service has no run time to estimate: the field may be missing, and its value does not count.
-    if (!spec.service() || !fields.absent("expectS")) fields.read_amount("expectS", spec.estimatedDurationS);
+    // A service has no expected duration. The field is optional for services, and a valid value is ignored.
+    if (!spec.service() || !fields.absent("expectS")) fields.read_number("expectS", spec.estimatedDurationS);
     if (spec.service()) spec.estimatedDurationS = 0;
-    fields.read_amount("snapshotS", spec.checkpointIntervalS);
-    fields.read_amount("flushS", spec.checkpointWriteS);
+    fields.read_number("snapshotS", spec.checkpointIntervalS);
+    fields.read_number("flushS", spec.checkpointWriteS);
 }
 
 void read_constraints(FieldValidator& fields, JobSpec& spec) {
-    fields.read_flag("together", spec.coLocated);
-    fields.read_flag("scatter", spec.spread);
-    fields.read_flag("loaners", spec.spotAllowed);
-    fields.read_optional_texts("builds", spec.machineTypes);
+    fields.read_bool("together", spec.coLocated);
+    fields.read_bool("scatter", spec.spread);
+    fields.read_bool("loaners", spec.spotAllowed);
+    fields.read_optional_strings("builds", spec.machineTypes);
     fields.read_optional_zone("hall", spec.zone);
-    fields.read_optional_amount("dueS", spec.deadlineS);
+    fields.read_optional_number("dueS", spec.deadlineS);
 }
 
 std::optional<TaskStatus> parse_task_status(const Json& body) {
     auto id = parse_task_id(get_string(body, "step").value_or(""));
     auto attempt = get_unsigned(body, "try");
-    auto phase = value_of<TaskPhase>(kTaskPhases, get_string(body, "phase").value_or(""));
+    auto phase = parse_enum<TaskPhase>(kTaskPhases, get_string(body, "phase").value_or(""));
     if (!id || !attempt || !phase) return std::nullopt;
     TaskStatus status;
     status.job = std::move(id->job);
     status.index = id->index;
     status.attempt = static_cast<std::uint32_t>(*attempt);
     status.phase = *phase;
-    status.cause = value_of<Cause>(kCauses, get_string(body, "cause").value_or("")).value_or(Cause::none);
+    status.cause = parse_enum<Cause>(kCauses, get_string(body, "cause").value_or("")).value_or(Cause::none);
     status.checkpointed = get_bool(body, "kept").value_or(false);
     return status;
 }
@@ -166,23 +168,23 @@
 }  // namespace
 
 const char* to_string(JobKind kind) {
-    return name_of(kJobKinds, kind);
+    return enum_name(kJobKinds, kind);
 }
 
 const char* to_string(PriorityClass priority) {
-    return name_of(kPriorityClasses, priority);
+    return enum_name(kPriorityClasses, priority);
 }
 
 const char* to_string(TaskPhase phase) {
-    return name_of(kTaskPhases, phase);
+    return enum_name(kTaskPhases, phase);
 }
 
 const char* to_string(Cause cause) {
-    return name_of(kCauses, cause);
+    return enum_name(kCauses, cause);
 }
 
 const char* to_string(CommandType type) {
-    return name_of(kCommandTypes, type);
+    return enum_name(kCommandTypes, type);
 }
 
 bool valid_job_id(std::string_view id) {
@@ -193,7 +195,7 @@
 }
 
 std::variant<JobSpec, JobSpecError> parse_job(const Json& body) {
-    if (!body.is_object()) return JobSpecError{"", "the body must be a map"};
+    if (!body.is_object()) return JobSpecError{"", "the request body must be a MessagePack map"};
     FieldValidator fields(body);
     JobSpec spec;
     read_identity(fields, spec);
--- a/tests/golden_bytes_test.cpp
+++ b/tests/golden_bytes_test.cpp
@@ -1,5 +1,5 @@
-// The bytes that leave a process, as version fbb9d89 wrote them (tests/data/golden-bytes.txt): names and types inside
-// the program may change, messages and stored records may not.
+// Compares encoded messages and stored records with the bytes that version fbb9d89 wrote
+// (tests/data/golden-bytes.txt). Guards against renamed or retyped fields, which other versions could not read.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -15,28 +15,29 @@
 
 using wire::Json;
 
-// By name. JSON as text shows what differs; MessagePack, in hexadecimal digits, is what goes out.
+// Looks up the expected bytes by name. Messages are compared as JSON text, for readable failures, and as hexadecimal
+// MessagePack, the form that is sent.
 class GoldenBytes : public testing::Test {
   protected:
-    static std::map<std::string, std::string> kept() {
+    static std::map<std::string, std::string> read_expected() {
         std::ifstream file(std::string(DATA) + "/golden-bytes.txt");
-        std::map<std::string, std::string> out;
+        std::map<std::string, std::string> expected;
         std::string line;
-        while (std::getline(file, line)) out[line.substr(0, line.find(' '))] = line.substr(line.find(' ') + 1);
-        return out;
+        while (std::getline(file, line)) expected[line.substr(0, line.find(' '))] = line.substr(line.find(' ') + 1);
+        return expected;
     }
 
     static std::string hex(const std::string& bytes) {
         static constexpr char kDigits[] = "0123456789abcdef";
-        std::string out;
-        for (unsigned char c : bytes) out += {kDigits[c / 16], kDigits[c % 16]};
-        return out;
+        std::string digits;
+        for (unsigned char c : bytes) digits += {kDigits[c / 16], kDigits[c % 16]};
+        return digits;
     }
 
     void check(const std::string& name, const std::string& bytes) {
-        auto it = kept_.find(name);
-        ASSERT_NE(it, kept_.end()) << name << " " << bytes;
-        EXPECT_EQ(bytes, it->second) << name;
+        auto entry = expected_.find(name);
+        ASSERT_NE(entry, expected_.end()) << name << " " << bytes;
+        EXPECT_EQ(bytes, entry->second) << name;
     }
 
     void check(const std::string& name, const Json& message) {
@@ -44,7 +45,7 @@
         check(name + ".msgpack", hex(wire::encode(message)));
     }
 
-    std::map<std::string, std::string> kept_ = kept();
+    std::map<std::string, std::string> expected_ = read_expected();
 };
 
 Json job_body(const char* kind, const char* priority) {
@@ -61,13 +62,13 @@
             auto spec = std::get<wire::JobSpec>(wire::parse_job(job_body(kind, priority)));
             check(std::string("job-") + kind + "-" + priority, to_json(spec));
         }
-    Json least = job_body("batch", "standard");
-    for (const char* key : {"builds", "hall", "dueS"}) least.erase(key);
-    least["together"] = false, least["scatter"] = true, least["loaners"] = false;
-    check("job-least", to_json(std::get<wire::JobSpec>(wire::parse_job(least))));
+    Json minimal = job_body("batch", "standard");
+    for (const char* key : {"builds", "hall", "dueS"}) minimal.erase(key);
+    minimal["together"] = false, minimal["scatter"] = true, minimal["loaners"] = false;
+    check("job-least", to_json(std::get<wire::JobSpec>(wire::parse_job(minimal))));
 }
 
-TEST_F(GoldenBytes, Orders) {
+TEST_F(GoldenBytes, Commands) {
     std::vector<wire::Command> commands(3);
     commands[0].type = wire::CommandType::start, commands[0].job = "j-000412", commands[0].index = 4,
     commands[0].attempt = 2;
@@ -86,8 +87,8 @@
     check("machine-type-read", to_json(*wire::parse_machine_type(to_json(type))));
 }
 
-// What is read of a heartbeat and of the cloud's list, field by field.
-TEST_F(GoldenBytes, Reports) {
+// Parsed fields of a heartbeat and of an entry of the cloud's machine list.
+TEST_F(GoldenBytes, HeartbeatsAndMachines) {
     Json body = {{"host", "n-000231"}, {"address", "10.1.0.232:9000"},
                  {"build", "g8"},      {"hall", "a"},
                  {"loaners", true},    {"tenure", 3},
@@ -98,27 +99,29 @@
     for (const char* cause : {"done", "halted", "peers", "incomplete", "error", "full", "busy", "unknown"})
         body["steps"].push_back(
             {{"step", "j-000398/0"}, {"try", 1}, {"phase", "ended"}, {"cause", cause}, {"kept", true}});
-    auto r = wire::parse_heartbeat(body);
-    ASSERT_TRUE(r);
-    std::string out = r->host + " " + r->address + " " + r->machineType + " " + r->zone + " " + (r->spot ? "y" : "n") +
-                      " " + std::to_string(r->agentEpoch) + " " + std::to_string(r->sequence) + " " +
-                      std::to_string(r->fencingToken) + " " + std::to_string(*r->preemptionNoticeS);
-    for (const wire::TaskStatus& t : r->tasks)
-        out += " " + t.job + "/" + std::to_string(t.index) + "#" + std::to_string(t.attempt) + ":" +
-               std::to_string(static_cast<int>(t.phase)) + std::to_string(static_cast<int>(t.cause)) +
-               (t.checkpointed ? "y" : "n");
-    check("report-read", out);
-
-    auto m = wire::parse_machine({{"ref", "n-000231"},
-                                  {"build", "g8"},
-                                  {"hall", "a"},
-                                  {"phase", "running"},
-                                  {"address", "10.1.0.232:9000"},
-                                  {"loaners", true},
-                                  {"heldS", 7.5}});
-    ASSERT_TRUE(m);
-    check("machine-read", m->name + " " + m->machineType + " " + m->zone + " " + m->phase + " " + m->address + " " +
-                              (m->spot ? "y" : "n") + " " + std::to_string(m->ageS));
+    auto heartbeat = wire::parse_heartbeat(body);
+    ASSERT_TRUE(heartbeat);
+    std::string fields = heartbeat->host + " " + heartbeat->address + " " + heartbeat->machineType + " " +
+                         heartbeat->zone + " " + (heartbeat->spot ? "y" : "n") + " " +
+                         std::to_string(heartbeat->agentEpoch) + " " + std::to_string(heartbeat->sequence) + " " +
+                         std::to_string(heartbeat->fencingToken) + " " + std::to_string(*heartbeat->preemptionNoticeS);
+    for (const wire::TaskStatus& task : heartbeat->tasks)
+        fields += " " + task.job + "/" + std::to_string(task.index) + "#" + std::to_string(task.attempt) + ":" +
+                  std::to_string(static_cast<int>(task.phase)) + std::to_string(static_cast<int>(task.cause)) +
+                  (task.checkpointed ? "y" : "n");
+    check("report-read", fields);
+
+    auto machine = wire::parse_machine({{"ref", "n-000231"},
+                                        {"build", "g8"},
+                                        {"hall", "a"},
+                                        {"phase", "running"},
+                                        {"address", "10.1.0.232:9000"},
+                                        {"loaners", true},
+                                        {"heldS", 7.5}});
+    ASSERT_TRUE(machine);
+    check("machine-read", machine->name + " " + machine->machineType + " " + machine->zone + " " + machine->phase +
+                              " " + machine->address + " " + (machine->spot ? "y" : "n") + " " +
+                              std::to_string(machine->ageS));
 }
 
 TEST_F(GoldenBytes, Records) {
@@ -130,14 +133,14 @@
     check("active-cancelled", state::ActiveRecord{"stairhost-1", std::nullopt, true, 1'000'300}.encode());
     check("team-parts", state::encode_quota_shares({{"a", {8000, 1000}}, {"b", {250, 0}}}));
 
-    state::HostEntry kept, leaving, fresh;
-    kept.name = "n-000001", kept.leader = "a", kept.address = "10.1.0.1:9000", kept.machineType = "c8";
-    kept.incarnation = 21, kept.fencingToken = 41, kept.spot = true;
-    leaving = kept;
+    state::HostEntry active, leaving, gone;
+    active.name = "n-000001", active.leader = "a", active.address = "10.1.0.1:9000", active.machineType = "c8";
+    active.incarnation = 21, active.fencingToken = 41, active.spot = true;
+    leaving = active;
     leaving.name = "n-000002", leaving.leaving = state::Leaving::marked, leaving.leavingAtS = 1'000'300;
-    fresh.name = "n-000003", fresh.leaving = state::Leaving::gone, fresh.leavingAtS = 5;
-    check("range", state::encode_shard({kept, leaving, fresh}));
-    check("range-read", state::encode_shard(state::decode_shard(state::encode_shard({kept, leaving, fresh}))));
+    gone.name = "n-000003", gone.leaving = state::Leaving::gone, gone.leavingAtS = 5;
+    check("range", state::encode_shard({active, leaving, gone}));
+    check("range-read", state::encode_shard(state::decode_shard(state::encode_shard({active, leaving, gone}))));
 
     state::ChunkRecord chunk;
     chunk.done = {{0, 3}, {7, 7}};
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// What users, workers and the cloud send and get: PROTOCOL as types.
+// Parsing and formatting of the messages of users, workers and the cloud.
 #include <gtest/gtest.h>
 
 #include "wire/messages.hpp"
@@ -7,101 +7,103 @@
 
 namespace {
 
-Json job() {
+Json job_body() {
     return {{"ref", "j-000412"}, {"lane", "train"},  {"crew", "vision"},  {"shape", "gang"},  {"rank", "urgent"},
             {"steps", 16},       {"cores", 8.0},     {"gpus", 1.0},       {"ramGb", 64.0},    {"bundle", "img-07"},
             {"imageGb", 6.2},    {"builds", {"g8"}}, {"hall", nullptr},   {"together", true}, {"scatter", false},
             {"loaners", true},   {"expectS", 240.0}, {"snapshotS", 30.0}, {"flushS", 4.0},    {"dueS", 900.0}};
 }
 
-TEST(Wire, JobSurvivesTheRoundTrip) {
-    auto body = decode(encode(job()));
+TEST(Wire, JobRoundTrips) {
+    auto body = decode(encode(job_body()));
     ASSERT_TRUE(body);
     auto spec = std::get<JobSpec>(parse_job(*body));
-    auto again = std::get<JobSpec>(parse_job(to_json(spec)));
-    EXPECT_EQ(to_json(spec), to_json(again));
-    EXPECT_EQ(again.taskCount, 16u);
-    EXPECT_FALSE(again.zone);
-    EXPECT_EQ(again.machineTypes->front(), "g8");
+    auto reparsed = std::get<JobSpec>(parse_job(to_json(spec)));
+    EXPECT_EQ(to_json(spec), to_json(reparsed));
+    EXPECT_EQ(reparsed.taskCount, 16u);
+    EXPECT_FALSE(reparsed.zone);
+    EXPECT_EQ(reparsed.machineTypes->front(), "g8");
 }
 
-TEST(Wire, EveryNeededFieldIsNeeded) {
+TEST(Wire, MissingRequiredFieldsAreRejected) {
     for (const char* key : {"ref", "lane", "crew", "shape", "rank", "steps", "cores", "gpus", "ramGb", "bundle",
                             "imageGb", "together", "scatter", "loaners", "expectS", "snapshotS", "flushS"}) {
-        Json body = job();
+        Json body = job_body();
         body.erase(key);
         auto parsed = parse_job(body);
         ASSERT_TRUE(std::holds_alternative<JobSpecError>(parsed)) << key;
         EXPECT_TRUE(std::get<JobSpecError>(parsed).reason.starts_with(key)) << std::get<JobSpecError>(parsed).reason;
     }
     for (const char* key : {"builds", "hall", "dueS"}) {
-        Json body = job();
+        Json body = job_body();
         body.erase(key);
         EXPECT_TRUE(std::holds_alternative<JobSpec>(parse_job(body))) << key;
     }
 }
 
-TEST(Wire, InvalidValuesAreRefused) {
-    struct Row {
+TEST(Wire, InvalidValuesAreRejected) {
+    struct Case {
         const char* field;
         Json value;
         const char* reason;
     };
-    const Row rows[] = {
+    constexpr const char* kIdReason =
+        "ref must be \"j-\" followed by letters, digits, '-' or '_', 3 to 64 bytes in total";
+    const Case cases[] = {
         {"steps", 0, "steps must be an integer from 1 to 100000"},
         {"steps", 100001, "steps must be an integer from 1 to 100000"},
         {"steps", 1.5, "steps must be an integer from 1 to 100000"},
-        {"cores", -1, "cores must be a number of at least 0"},
-        {"cores", "8", "cores must be a number of at least 0"},
-        {"cores", 1.1e9, "cores must be a number of at least 0"},
+        {"cores", -1, "cores must be a number from 0 to 1e9"},
+        {"cores", "8", "cores must be a number from 0 to 1e9"},
+        {"cores", 1.1e9, "cores must be a number from 0 to 1e9"},
         {"rank", "high", "rank must be production, urgent, standard or best_effort"},
         {"shape", "array", "shape must be batch, gang or service"},
-        {"ref", "x-1", "ref must look like j-000412"},
-        {"ref", "j-1/2", "ref must look like j-000412"},
-        {"ref", "", "ref must be a text of 1 to 200 bytes"},
-        {"crew", std::string(201, 'a'), "crew must be a text of 1 to 200 bytes"},
+        {"ref", "x-1", kIdReason},
+        {"ref", "j-1/2", kIdReason},
+        {"ref", "", "ref must be a string of 1 to 200 bytes"},
+        {"crew", std::string(201, 'a'), "crew must be a string of 1 to 200 bytes"},
         {"together", 1, "together must be true or false"},
-        {"builds", "g8", "builds must be a list of machine types, or null"},
-        {"builds", {"g8", 1}, "builds must be a list of machine types, or null"},
+        {"builds", "g8", "builds must be an array of machine type names, or null"},
+        {"builds", {"g8", 1}, "builds must be an array of machine type names, or null"},
         {"hall", 1, "hall must be the name of a zone, or null"},
         {"dueS", -1, "dueS must be a number of at least 0, or null"},
     };
-    for (const Row& row : rows) {
-        Json body = job();
-        body[row.field] = row.value;
+    for (const Case& invalid : cases) {
+        Json body = job_body();
+        body[invalid.field] = invalid.value;
         auto parsed = parse_job(body);
-        ASSERT_TRUE(std::holds_alternative<JobSpecError>(parsed)) << row.field << " " << row.value;
-        EXPECT_EQ(std::get<JobSpecError>(parsed).field, row.field);
-        EXPECT_EQ(std::get<JobSpecError>(parsed).reason, row.reason);
+        ASSERT_TRUE(std::holds_alternative<JobSpecError>(parsed)) << invalid.field << " " << invalid.value;
+        EXPECT_EQ(std::get<JobSpecError>(parsed).field, invalid.field);
+        EXPECT_EQ(std::get<JobSpecError>(parsed).reason, invalid.reason);
     }
 }
 
 TEST(Wire, UnknownFieldsAreIgnored) {
-    Json body = job();
+    Json body = job_body();
     body["unknown"] = 1;
     EXPECT_TRUE(std::holds_alternative<JobSpec>(parse_job(body)));
 }
 
-// Users see the first field that is wrong, in the order of the checks, not in that of the map.
-TEST(Wire, TheFirstOfSeveralErrorsIsTold) {
-    Json body = job();
+// The error names the first invalid field in the order of validation, not in the order of the map.
+TEST(Wire, FirstOfSeveralErrorsIsReported) {
+    Json body = job_body();
     body["cores"] = body["crew"] = body["together"] = nullptr;
-    EXPECT_EQ(std::get<JobSpecError>(parse_job(body)).reason, "crew must be a text of 1 to 200 bytes");
-    EXPECT_EQ(std::get<JobSpecError>(parse_job(Json::array())).reason, "the body must be a map");
+    EXPECT_EQ(std::get<JobSpecError>(parse_job(body)).reason, "crew must be a string of 1 to 200 bytes");
+    EXPECT_EQ(std::get<JobSpecError>(parse_job(Json::array())).reason, "the request body must be a MessagePack map");
 }
 
-// A service has no run time to estimate; a value that is given is checked and does not count.
-TEST(Wire, AServiceNeedsNoEstimate) {
-    Json body = job();
+// A service has no expected duration; a value is validated and then ignored.
+TEST(Wire, ServiceNeedsNoDurationEstimate) {
+    Json body = job_body();
     body["shape"] = "service";
     EXPECT_EQ(std::get<JobSpec>(parse_job(body)).estimatedDurationS, 0);
     body.erase("expectS");
     EXPECT_EQ(std::get<JobSpec>(parse_job(body)).estimatedDurationS, 0);
     body["expectS"] = -1;
-    EXPECT_EQ(std::get<JobSpecError>(parse_job(body)).reason, "expectS must be a number of at least 0");
+    EXPECT_EQ(std::get<JobSpecError>(parse_job(body)).reason, "expectS must be a number from 0 to 1e9");
 }
 
-TEST(Wire, TaskIdsSurviveTheRoundTrip) {
+TEST(Wire, TaskIdsRoundTrip) {
     auto id = parse_task_id(task_id("j-000412", 3));
     ASSERT_TRUE(id);
     EXPECT_EQ(id->job, "j-000412");
@@ -110,7 +112,7 @@
         EXPECT_FALSE(parse_task_id(name)) << name;
 }
 
-TEST(Wire, EnumsHaveTheirNamesOnTheWire) {
+TEST(Wire, EnumeratorsAreFormattedAsOnTheWire) {
     EXPECT_STREQ(to_string(JobKind::service), "service");
     EXPECT_STREQ(to_string(PriorityClass::best_effort), "best_effort");
     EXPECT_STREQ(to_string(TaskPhase::checkpointing), "flushing");
@@ -122,20 +124,20 @@
     EXPECT_STREQ(to_string(CommandType::acknowledge), "reap");
 }
 
-TEST(Wire, BytesThatAreNoMessage) {
+TEST(Wire, InvalidMessagePackIsRejected) {
     EXPECT_FALSE(decode(""));
     EXPECT_FALSE(decode("\xc1"));
     EXPECT_FALSE(decode(std::string("\x81\xa1x\xc4\x01z", 6)));  // binary data
-    EXPECT_FALSE(decode(encode(job()) + "x"));                   // something behind the end
-    EXPECT_FALSE(decode(encode(job()).substr(0, 30)));
+    EXPECT_FALSE(decode(encode(job_body()) + "x"));              // trailing byte
+    EXPECT_FALSE(decode(encode(job_body()).substr(0, 30)));
 }
 
-// 60,000 lists in one another would otherwise recurse as deep.
-TEST(Wire, NestingIsBounded) {
+// Without a limit, 60,000 nested arrays would recurse 60,000 times and overflow the stack.
+TEST(Wire, NestingDepthIsLimited) {
     EXPECT_FALSE(decode(std::string(60000, '\x91') + '\x01'));
 }
 
-TEST(Wire, HeartbeatsAreRead) {
+TEST(Wire, HeartbeatsAreParsed) {
     Json body = {{"host", "n-000231"},
                  {"address", "10.1.0.232:9000"},
                  {"build", "g8"},
