--- a/src/config/clock_drift.hpp
+++ b/src/config/clock_drift.hpp
@@ -1,10 +1,10 @@
-// What the clocks of two machines may differ by.
+// Bound on the relative drift between the steady clocks of two machines.
 #pragma once
 
 namespace wellstair::config {
 
-// A time that another machine counts is bounded by this factor of the same time by our own clock. PROTOCOL allows
-// steady clocks to drift apart by 0.05%; four times that leaves room for a clock that is being corrected.
+// A duration measured on another machine is at most this multiple of the same duration on the local steady clock.
+// PROTOCOL allows a drift of 0.05%; four times that leaves a margin for a clock that is being adjusted.
 inline constexpr double kClockDriftFactor = 1.002;
 
 }  // namespace wellstair::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -10,20 +10,21 @@
 namespace wellstair::config {
 namespace {
 
-constexpr double kAmountBound = 1e12;                // numbers must be below
-constexpr std::int64_t kMaxInteger = 1'000'000'000;  // the largest integer accepted
+constexpr double kNumberBound = 1e12;                // exclusive upper bound of numbers
+constexpr std::int64_t kMaxInteger = 1'000'000'000;  // largest integer accepted
 constexpr unsigned kMaxPort = 65535;
 constexpr double kMsPerS = 1000;
 
-// A transaction that places tasks changes a chunk, the team's usage, the leader's record and, for gangs, the job's
+// A transaction that places tasks writes a chunk, the team's usage, the leader's record and, for gangs, the job's
 // record.
 constexpr int kMinTransactionOperations = 4;
 
-// Reads the fields of one table of the file. Each function throws a SettingsError with the file and the full name of
-// the field if the field is missing or has another type or range. Refers to the parsed file, which must outlive it.
+// Reads the fields of one table. If a required field is missing, or a field has the wrong type or is out of range, the
+// functions throw a SettingsError that names the file and the full path of the field. Holds a reference to the parsed
+// table, which must outlive the reader.
 class TableReader {
   public:
-    // `prefix`: the table's own name and a dot, "deployment.workers."; empty for the root.
+    // `prefix` is the path of the table with a trailing dot, such as "deployment.workers."; empty for the root.
     TableReader(std::string file, const toml::table& table, std::string prefix = "")
         : file_(std::move(file)), table_(table), prefix_(std::move(prefix)) {}
 
@@ -33,38 +34,38 @@
 
     bool contains(const char* key) const { return table_.contains(key); }
 
-    std::string text(const char* key) const {
+    std::string non_empty_string(const char* key) const {
         auto value = table_[key].value_exact<std::string>();
-        if (!value || value->empty()) fail(key, "a text that is not empty");
+        if (!value || value->empty()) fail(key, "a non-empty string");
         return *value;
     }
 
-    // Empty if the field is missing or no text.
-    std::string text_or_empty(const char* key) const { return table_[key].value_or(std::string()); }
+    // Returns an empty string if the field is missing or not a string.
+    std::string string_or_empty(const char* key) const { return table_[key].value_or(std::string()); }
 
-    double positive(const char* key) const {
+    double positive_number(const char* key) const {
         auto value = number(key);
-        if (!value || !(*value > 0)) fail(key, "a number above 0");
+        if (!value || !(*value > 0)) fail(key, "a number greater than 0 and less than 1e12");
         return *value;
     }
 
-    // 0 if the field is missing.
-    double amount_or_0(const char* key) const {
+    // Returns 0 if the field is missing.
+    double number_or_zero(const char* key) const {
         if (!contains(key)) return 0;
         auto value = number(key);
-        if (!value || !(*value >= 0)) fail(key, "a number of at least 0");
+        if (!value || !(*value >= 0)) fail(key, "a number of at least 0 and less than 1e12");
         return *value;
     }
 
     int positive_integer(const char* key) const {
         auto value = table_[key].value_exact<std::int64_t>();
-        if (!value || *value < 1 || *value > kMaxInteger) fail(key, "an integer of at least 1");
+        if (!value || *value < 1 || *value > kMaxInteger) fail(key, "an integer from 1 to 1000000000");
         return static_cast<int>(*value);
     }
 
     Endpoint endpoint(const char* key) const {
-        auto parsed = parse_endpoint(text(key));
-        if (!parsed) fail(key, "an IPv4 address and port such as 10.0.0.1:8080");
+        auto parsed = parse_endpoint(non_empty_string(key));
+        if (!parsed) fail(key, "an IPv4 address and a port from 1 to 65535, such as 10.0.0.1:8080");
         return *parsed;
     }
 
@@ -74,29 +75,31 @@
         return {file_, *nested, prefix_ + key + "."};
     }
 
-    // The tables of a list (`[[key]]`), in the order of the file; none if the field is missing.
+    // Returns the tables of an array of tables (`[[key]]`) in file order; empty if the field is missing.
     std::vector<TableReader> tables(const char* key) const {
         std::vector<TableReader> readers;
         if (!contains(key)) return readers;
-        const auto* list = table_[key].as_array();
-        if (!list) fail(key, "a list of tables");
-        for (const auto& element : *list) {
-            if (!element.is_table()) fail(key, "a list of tables");
+        const auto* array = table_[key].as_array();
+        if (!array) fail(key, "an array of tables");
+        for (const auto& element : *array) {
+            if (!element.is_table()) fail(key, "an array of tables");
             readers.emplace_back(file_, *element.as_table(), prefix_ + key + ".");
         }
         return readers;
     }
 
   private:
-    // Integers count as numbers, too. Nothing if it is none, or out of all bounds.
+    // Accepts integers and floating-point numbers. Returns nullopt for other types and for values of kNumberBound or
+    // more.
     std::optional<double> number(const char* key) const {
         auto node = table_[key];
         if (!node.is_number()) return std::nullopt;
         double value = *node.value<double>();
-        if (!(value < kAmountBound)) return std::nullopt;
+        if (!(value < kNumberBound)) return std::nullopt;
         return value;
     }
 
+    // Returns nullopt unless the string is an IPv4 address, a colon and a port.
     static std::optional<Endpoint> parse_endpoint(const std::string& address) {
         auto colon = address.rfind(':');
         if (colon == std::string::npos) return std::nullopt;
@@ -116,16 +119,17 @@
     std::string prefix_;
 };
 
-// What the parser says of a file that is no TOML, in one line.
+// Formats an error of the TOML parser as one line.
 std::string describe(const toml::parse_error& error) {
     std::string reason(error.description());
     std::replace(reason.begin(), reason.end(), '\n', ' ');
     auto line = error.source().begin.line;
-    std::string place = line ? "line " + std::to_string(line) + ": " : "";
-    return place + "expected a readable TOML file (" + reason + ")";
+    std::string location = line ? "line " + std::to_string(line) + ": " : "";
+    return location + "expected a readable TOML file (" + reason + ")";
 }
 
-toml::table parse(const std::string& path) {
+// Throws a SettingsError if the file cannot be read or is not TOML.
+toml::table parse_file(const std::string& path) {
     try {
         return toml::parse_file(path);
     } catch (const toml::parse_error& error) {
@@ -133,16 +137,16 @@
     }
 }
 
-// `[[members]]`: the file lists all controllers, the settings all but this one.
+// `[[members]]` may list this controller, too; Settings::members holds only the others.
 void read_members(const TableReader& root, Settings& settings) {
     std::set<std::string> names = {settings.member};
     for (const TableReader& reader : root.tables("members")) {
         MemberAddress member;
-        member.name = reader.text("member");
-        member.zone = reader.text("location");
+        member.name = reader.non_empty_string("member");
+        member.zone = reader.non_empty_string("location");
         member.peer = reader.endpoint("peer_addr");
         if (member.name == settings.member) continue;
-        if (!names.insert(member.name).second) reader.fail("member", "each name once");
+        if (!names.insert(member.name).second) reader.fail("member", "a unique name");
         settings.members.push_back(std::move(member));
     }
 }
@@ -157,82 +161,82 @@
 void read_teams(const TableReader& deployment, Settings& settings) {
     for (const TableReader& reader : deployment.tables("teams")) {
         Team team;
-        team.name = reader.text("name");
-        team.cpus = reader.amount_or_0("cpus");
-        team.cpusMax = reader.amount_or_0("cpus_max");
-        team.gpus = reader.amount_or_0("gpus");
-        team.gpusMax = reader.amount_or_0("gpus_max");
-        if (settings.team(team.name)) reader.fail("name", "each name once");
+        team.name = reader.non_empty_string("name");
+        team.cpus = reader.number_or_zero("cpus");
+        team.cpusMax = reader.number_or_zero("cpus_max");
+        team.gpus = reader.number_or_zero("gpus");
+        team.gpusMax = reader.number_or_zero("gpus_max");
+        if (settings.team(team.name)) reader.fail("name", "a unique name");
         settings.teams.push_back(std::move(team));
     }
-    if (settings.teams.empty()) deployment.fail("teams", "at least one team");
+    if (settings.teams.empty()) deployment.fail("teams", "at least one [[deployment.teams]] table");
 }
 
 // `[[deployment.objectives]]`.
 void read_objectives(const TableReader& deployment, Settings& settings) {
     for (const TableReader& reader : deployment.tables("objectives")) {
         Objective objective;
-        objective.kind = reader.text("kind");
-        objective.jobClass = reader.text_or_empty("class");
-        objective.withinS = reader.amount_or_0("within_s");
-        objective.deadlineMultiple = reader.amount_or_0("times");
+        objective.kind = reader.non_empty_string("kind");
+        objective.jobClass = reader.string_or_empty("class");
+        objective.withinS = reader.number_or_zero("within_s");
+        objective.deadlineMultiple = reader.number_or_zero("times");
         settings.objectives.push_back(std::move(objective));
     }
 }
 
 // `[deployment.workers]`.
 void read_workers(const TableReader& workers, Settings& settings) {
-    settings.heartbeatIntervalS = workers.positive("report_s");
-    settings.leaseS = workers.positive("lease_s");
-    settings.gangAssemblyTimeoutS = workers.positive("gang_wait_s");
-    settings.gangPeerTimeoutS = workers.positive("gang_peer_s");
-    settings.cancelS = workers.positive("cancel_s");
+    settings.heartbeatIntervalS = workers.positive_number("report_s");
+    settings.leaseS = workers.positive_number("lease_s");
+    settings.gangAssemblyTimeoutS = workers.positive_number("gang_wait_s");
+    settings.gangPeerTimeoutS = workers.positive_number("gang_peer_s");
+    settings.cancelS = workers.positive_number("cancel_s");
 }
 
-int transaction_operations(const TableReader& state) {
-    int operations = state.positive_integer("txn_ops");
+int transaction_operations(const TableReader& table) {
+    int operations = table.positive_integer("txn_ops");
     if (operations < kMinTransactionOperations)
-        state.fail("txn_ops", "an integer of at least " + std::to_string(kMinTransactionOperations));
+        table.fail("txn_ops", "an integer of at least " + std::to_string(kMinTransactionOperations));
     return operations;
 }
 
-// `[deployment.state.next]`: a field that is missing stays as it is now.
-StateLimits next_limits(const TableReader& table, const StateLimits& now) {
-    StateLimits next = now;
-    if (table.contains("value_kb")) next.valueKb = table.positive("value_kb");
-    if (table.contains("write_rps")) next.writeRps = table.positive("write_rps");
+// `[deployment.state.next]`. A field that is missing keeps its present limit.
+StateLimits next_limits(const TableReader& table, const StateLimits& current) {
+    StateLimits next = current;
+    if (table.contains("value_kb")) next.valueKb = table.positive_number("value_kb");
+    if (table.contains("write_rps")) next.writeRps = table.positive_number("write_rps");
     if (table.contains("txn_ops")) next.transactionOperations = transaction_operations(table);
-    // The largest value that is stored has to be divided in one transaction.
-    if (next.valueKb * next.transactionOperations < now.valueKb)
-        table.fail("value_kb", "at least state.value_kb divided by state.next.txn_ops");
+    // One transaction must be able to split the largest stored value into values of the new size.
+    if (next.valueKb * next.transactionOperations < current.valueKb)
+        table.fail("value_kb", "at least deployment.state.value_kb divided by deployment.state.next.txn_ops");
     return next;
 }
 
 // `[deployment.state]`.
 void read_state(const TableReader& state, Settings& settings) {
-    settings.stateRps = state.positive("rps");
-    settings.stateWriteRps = state.positive("write_rps");
-    settings.valueKb = state.positive("value_kb");
+    settings.stateRps = state.positive_number("rps");
+    settings.stateWriteRps = state.positive_number("write_rps");
+    settings.valueKb = state.positive_number("value_kb");
     settings.transactionOperations = transaction_operations(state);
     if (state.contains("next")) settings.nextStateLimits = next_limits(state.table("next"), settings.state_limits());
 }
 
 // `[deployment.cloud]`.
 void read_cloud(const TableReader& cloud, Settings& settings) {
-    settings.cloudRps = cloud.positive("rps");
-    settings.listLagS = cloud.amount_or_0("list_lag_s");
+    settings.cloudRps = cloud.positive_number("rps");
+    settings.listLagS = cloud.number_or_zero("list_lag_s");
 }
 
 // `[deployment.quota]`.
 void read_quota(const TableReader& quota, Settings& settings) {
-    settings.processCores = quota.positive("cores");
-    settings.processRamMb = quota.positive("ram_mb");
+    settings.processCores = quota.positive_number("cores");
+    settings.processRamMb = quota.positive_number("ram_mb");
     settings.maxSockets = quota.positive_integer("max_sockets");
 }
 
 // `[deployment]` and its tables.
 void read_deployment(const TableReader& deployment, Settings& settings) {
-    settings.skewS = deployment.amount_or_0("skew_ms") / kMsPerS;
+    settings.skewS = deployment.number_or_zero("skew_ms") / kMsPerS;
     read_teams(deployment, settings);
     read_objectives(deployment, settings);
     read_workers(deployment.table("workers"), settings);
@@ -259,11 +263,11 @@
 }
 
 Settings load_settings(const std::string& path) {
-    const toml::table file = parse(path);
+    const toml::table file = parse_file(path);
     const TableReader root(path, file);
     Settings settings;
-    settings.member = root.text("member");
-    settings.location = root.text("location");
+    settings.member = root.non_empty_string("member");
+    settings.location = root.non_empty_string("location");
     settings.publicEndpoint = root.endpoint("front");
     settings.internalEndpoint = root.endpoint("internal_addr");
     read_members(root, settings);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-const char* kGood = R"(member = "s-0"
+const char* kValidSettings = R"(member = "s-0"
 location = "north"
 front = "10.0.0.1:8080"
 internal_addr = "10.0.0.1:8081"
-surprise = 1
+unknown_field = 1
 [[members]]
 member = "s-1"
 location = "north"
@@ -54,21 +54,22 @@
 max_sockets = 1800
 )";
 
-std::string outcome(std::string text, const std::string& from = "", const std::string& to = "") {
+// Loads the text with `from` replaced by `to`. Returns "ok", or the error without the name of the file.
+std::string load_result(std::string text, const std::string& from = "", const std::string& to = "") {
     if (!from.empty()) {
-        auto at = text.find(from);
-        EXPECT_NE(at, std::string::npos) << from;
-        text.replace(at, from.size(), to);
+        auto position = text.find(from);
+        EXPECT_NE(position, std::string::npos) << from;
+        text.replace(position, from.size(), to);
     }
-    // A file of its own for each test: CTest may run them side by side.
+    // One file per test, because CTest may run tests in parallel.
     std::string path =
         testing::TempDir() + "wellstair_" + testing::UnitTest::GetInstance()->current_test_info()->name() + ".toml";
     std::ofstream(path) << text;
     std::string result = "ok";
     try {
         load_settings(path);
-    } catch (const SettingsError& e) {
-        result = e.what();
+    } catch (const SettingsError& error) {
+        result = error.what();
         EXPECT_TRUE(result.starts_with(path)) << result;
         EXPECT_EQ(result.find('\n'), std::string::npos) << result;
         result = result.substr(path.size() + 2);
@@ -77,49 +78,54 @@
     return result;
 }
 
-TEST(Settings, AreReadAndUnknownFieldsIgnored) {
-    EXPECT_EQ(outcome(kGood), "ok");
+TEST(Settings, ValidFileWithUnknownFieldsIsLoaded) {
+    EXPECT_EQ(load_result(kValidSettings), "ok");
 }
 
-TEST(Settings, SayWhichFieldIsWrong) {
-    struct Row {
+TEST(Settings, ErrorsNameTheInvalidField) {
+    struct Case {
         const char *from, *to;
         const char* error;
     };
-    const Row rows[] = {
-        {"member = \"s-0\"\n", "", "member: expected a text that is not empty"},
+    const Case cases[] = {
+        {"member = \"s-0\"\n", "", "member: expected a non-empty string"},
         {"front = \"10.0.0.1:8080\"", "front = \"somewhere\"",
-         "front: expected an IPv4 address and port such as 10.0.0.1:8080"},
+         "front: expected an IPv4 address and a port from 1 to 65535, such as 10.0.0.1:8080"},
         {"front = \"10.0.0.1:8080\"", "front = \"10.0.0.1:80800\"",
-         "front: expected an IPv4 address and port such as 10.0.0.1:8080"},
+         "front: expected an IPv4 address and a port from 1 to 65535, such as 10.0.0.1:8080"},
         {"front = \"10.0.0.1:8080\"", "front = \"10.0.0:8080\"",
-         "front: expected an IPv4 address and port such as 10.0.0.1:8080"},
-        {"lease_s = 22.0", "lease_s = 0", "deployment.workers.lease_s: expected a number above 0"},
-        {"lease_s = 22.0", "lease_s = \"22\"", "deployment.workers.lease_s: expected a number above 0"},
-        {"lease_s = 22.0", "lease_s = 1e12", "deployment.workers.lease_s: expected a number above 0"},
+         "front: expected an IPv4 address and a port from 1 to 65535, such as 10.0.0.1:8080"},
+        {"lease_s = 22.0", "lease_s = 0",
+         "deployment.workers.lease_s: expected a number greater than 0 and less than 1e12"},
+        {"lease_s = 22.0", "lease_s = \"22\"",
+         "deployment.workers.lease_s: expected a number greater than 0 and less than 1e12"},
+        {"lease_s = 22.0", "lease_s = 1e12",
+         "deployment.workers.lease_s: expected a number greater than 0 and less than 1e12"},
         {"txn_ops = 16", "txn_ops = 2", "deployment.state.txn_ops: expected an integer of at least 4"},
-        {"txn_ops = 16", "txn_ops = 0", "deployment.state.txn_ops: expected an integer of at least 1"},
+        {"txn_ops = 16", "txn_ops = 0", "deployment.state.txn_ops: expected an integer from 1 to 1000000000"},
         {"txn_ops = 16", "txn_ops = 16\n[deployment.state.next]\ntxn_ops = 2",
          "deployment.state.next.txn_ops: expected an integer of at least 4"},
         {"txn_ops = 16", "txn_ops = 16\n[deployment.state.next]\nvalue_kb = 0.4",
-         "deployment.state.next.value_kb: expected at least state.value_kb divided by state.next.txn_ops"},
+         "deployment.state.next.value_kb: expected at least deployment.state.value_kb divided by "
+         "deployment.state.next.txn_ops"},
         {"[deployment.cloud]\nrps = 5.0\nlist_lag_s = 6.0\n", "", "deployment.cloud: expected a table"},
-        {"cpus = 10.0", "cpus = -1.0", "deployment.teams.cpus: expected a number of at least 0"},
+        {"cpus = 10.0", "cpus = -1.0", "deployment.teams.cpus: expected a number of at least 0 and less than 1e12"},
         {"cpus = 10.0", "cpus = 10.0\n[[deployment.teams]]\nname = \"red\"",
-         "deployment.teams.name: expected each name once"},
+         "deployment.teams.name: expected a unique name"},
         {"[[deployment.teams]]\nname = \"red\"\ncpus = 10.0\ncpus_max = 20.0\n", "",
-         "deployment.teams: expected at least one team"},
+         "deployment.teams: expected at least one [[deployment.teams]] table"},
         {"[[members]]\nmember = \"s-1\"",
          "[[members]]\nmember = \"s-1\"\nlocation = \"north\"\npeer_addr = \"10.0.0.3:1\"\n"
          "[[members]]\nmember = \"s-1\"",
-         "members.member: expected each name once"},
+         "members.member: expected a unique name"},
     };
-    for (const Row& row : rows) EXPECT_EQ(outcome(kGood, row.from, row.to), row.error) << row.to;
+    for (const Case& invalid : cases)
+        EXPECT_EQ(load_result(kValidSettings, invalid.from, invalid.to), invalid.error) << invalid.to;
 }
 
-TEST(Settings, AreKeptInTheirUnits) {
+TEST(Settings, ValuesAreConvertedToTheirUnits) {
     std::string path = testing::TempDir() + "wellstair_settings_units.toml";
-    std::ofstream(path) << kGood;
+    std::ofstream(path) << kValidSettings;
     Settings settings = load_settings(path);
     std::remove(path.c_str());
     EXPECT_EQ(settings.skewS, 0.25);
@@ -136,9 +142,9 @@
     EXPECT_EQ(settings.maxSockets, 1800);
 }
 
-TEST(Settings, UnreadableFiles) {
+TEST(Settings, UnreadableFilesAreRejected) {
     EXPECT_THROW(load_settings("/nonexistent/wellstair.toml"), SettingsError);
-    EXPECT_TRUE(outcome("member = ").starts_with("line 1: expected a readable TOML file"));
+    EXPECT_TRUE(load_result("member = ").starts_with("line 1: expected a readable TOML file"));
 }
 
 }  // namespace
--- a/tests/site_settings.hpp
+++ b/tests/site_settings.hpp
@@ -1,6 +1,4 @@
-// The site that the tests with whole controllers have in common: settings and machine types.
-//
-// Owns nothing. Errors: none.
+// Settings and machine types shared by the tests that run whole controllers.
 #pragma once
 
 #include "config/settings.hpp"
@@ -8,9 +6,9 @@
 
 namespace wellstair::test {
 
-// The settings but for names and zones of the members.
+// Settings without the name of the controller and without other members.
 config::Settings site_settings();
-// The value of the key ws/types: two machine types, `c8` and `g8`, of 8 cores each, in the zones a and b.
+// Value of the key ws/types: machine types `c8` and `g8`, each with 8 cores and offered in zones a and b.
 wire::Json machine_types();
 
 }  // namespace wellstair::test
