--- a/src/autoscaling/scale_in_policy.cpp
+++ b/src/autoscaling/scale_in_policy.cpp
@@ -113,7 +113,7 @@
     const bool unreachable = unreachable_too_long(tracker, now);
     // A host that is silent for this long has broken the gangs with tasks on it, and their next attempt waits for proof
     // that these tasks are gone. The cloud's confirmation arrives before the lease expires.
-    const bool blocksGang = silentS > hosts_.silent_after() + settings.gangPeerS && zoneResponsive &&
+    const bool blocksGang = silentS > hosts_.silent_after() + settings.gangPeerTimeoutS && zoneResponsive &&
                              std::any_of(host.placed.begin(), host.placed.end(),
                                          [](const TaskRef& ref) { return ref.job->multi_task_gang(); });
     const bool holdsCancelled = !isolated && cancellations_.holds_cancelled(host, tracker, now);
@@ -205,10 +205,10 @@
         const bool registered = host && host->registered();
         const bool running = machine.phase == "running";
         const bool failed = machine.phase == "failed";
-        const bool stuck = !running && !registered && machine.heldS > kStuckBootTimes * bootS + settings.listLagS;
+        const bool stuck = !running && !registered && machine.ageS > kStuckBootTimes * bootS + settings.listLagS;
         const bool neverRegistered =
             running && !registered &&
-            machine.heldS > kNeverRegisteredBootTimes * bootS + kNeverRegisteredLeases * settings.leaseS;
+            machine.ageS > kNeverRegisteredBootTimes * bootS + kNeverRegisteredLeases * settings.leaseS;
         if (!failed && !stuck && !neverRegistered) continue;
         const auto markedAtS = static_cast<std::int64_t>(now.wall);
         if (!builder.mark_for_return(machine.name, machine.zone, markedAtS, false, failed ? "failed" : "stuck"))
--- a/src/state/quota_shares.cpp
+++ b/src/state/quota_shares.cpp
@@ -36,7 +36,7 @@
     QuotaAmount assigned;
     for (const auto& [name, share] : shares) assigned += share;
     const QuotaAmount unassigned = need.limit - assigned;
-    const std::int64_t members = settings.size();
+    const std::int64_t members = settings.controller_count();
     QuotaAmount grown = shares[need.member];
     if (!grow(grown.cores, need.needed.cores, unassigned.cores, members)) return false;
     if (!grow(grown.gpus, need.needed.gpus, unassigned.gpus, members)) return false;
@@ -45,7 +45,7 @@
 }
 
 QuotaShares redistribute_shares(const TeamRecord& team, const QuotaNeed& need, const config::Settings& settings) {
-    const std::int64_t members = settings.size();
+    const std::int64_t members = settings.controller_count();
     const QuotaAmount unused = need.limit - need.total;
     const QuotaAmount equalPart{unused.cores / members, unused.gpus / members};
     QuotaShares shares;
--- a/src/state/state_cache.cpp
+++ b/src/state/state_cache.cpp
@@ -208,9 +208,9 @@
     if (!data || revision <= machineTypesRevision_) return;
     machineTypesRevision_ = revision;
     machineTypes_.clear();
-    if (const Json* list = wire::list(*data, "builds"))
+    if (const Json* list = wire::get_array(*data, "builds"))
         for (const Json& entry : *list)
-            if (auto machineType = wire::parse_type(entry)) machineTypes_[machineType->typeName] = *machineType;
+            if (auto machineType = wire::parse_machine_type(entry)) machineTypes_[machineType->typeName] = *machineType;
     for (auto& [name, host] : hosts_)
         if (const auto* machineType = machine_type(host->machineType)) host->cache.set_capacity(machineType->cacheGb);
 }
@@ -218,7 +218,7 @@
 void StateCache::apply_job(const std::string& id, const Json* data, std::uint64_t revision) {
     if (!data) return;  // job records are never removed
     if (auto ended = outcomes_.find(id); ended != outcomes_.end() && revision <= ended->second.revision) return;
-    if (auto phase = wire::text(*data, "f")) {
+    if (auto phase = wire::get_string(*data, "f")) {
         outcomes_[id] = {*phase == "done" ? JobState::done : JobState::aborted, revision};
         if (auto it = jobs_.find(id); it != jobs_.end()) it->second->state.transition_to(outcomes_[id].state);
         drop_if_ended(id);
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -45,8 +45,8 @@
     std::size_t shardBytes = 0;
     for (const auto& [key, edit] : shards_) shardBytes += edit.size.bytes();
     return this->writes() + writes <= rules_.limits.transactionOperations &&
-           static_cast<int>(preconditions_.size()) + conditions <= rules_.limits.conditions() &&
-           bytes_ + shardBytes + bytes <= wire::kBodyLimit * 2 / 3;
+           static_cast<int>(preconditions_.size()) + conditions <= rules_.limits.max_preconditions() &&
+           bytes_ + shardBytes + bytes <= wire::kMaxBodyBytes * 2 / 3;
 }
 
 bool TransactionBuilder::sets_key(const std::string& path) const {
@@ -179,7 +179,7 @@
     if (reservation == quotaReservations_.end() || !reservation->second.sharesChanged) ++cost.writes;
     if (zone_constraint_spans_chunks(job)) ++cost.writes;
     cost.bytes = kTaskBytes * tasks.size() + cost.chunks.size() * kPlacementChunkBytes;
-    cost.conditions = static_cast<int>(cost.chunks.size() + 3) + settings_.size();
+    cost.conditions = static_cast<int>(cost.chunks.size() + 3) + settings_.controller_count();
     cost.shards = static_cast<int>(shards.size());
     return cost;
 }
@@ -262,7 +262,7 @@
     bool withChunks = has_room(2 + chunks, conditions, kFinishBytes);
     // A job with more chunks than fit into one transaction leaves them to garbage collection, so that the end of the
     // job always fits.
-    bool neverFits = 2 + chunks > rules_.limits.transactionOperations || conditions >= rules_.limits.conditions();
+    bool neverFits = 2 + chunks > rules_.limits.transactionOperations || conditions >= rules_.limits.max_preconditions();
     if (!withChunks && !((neverFits || writes() == 0) && has_room(2, 1, kFinishBytes))) return false;
     require(keys::active(job.id), job.activeRevision);
     set(keys::job(job.id), {{"f", to == JobState::done ? "done" : "aborted"}});
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -5,14 +5,14 @@
 namespace wellstair::wire {
 namespace {
 
-constexpr int kMaxDepth = 32;  // of maps and lists in one another
+constexpr int kMaxDepth = 32;  // nesting levels of maps and arrays in a message
 
-// Builds the document and gives up on binary data and on too deep nesting. The base's functions are not virtual: the
-// parser is a template over this class.
-class BoundedDom : public nlohmann::detail::json_sax_dom_parser<Json> {
+// SAX handler that builds the document and rejects binary data and deep nesting. The functions hide those of the base
+// class: they are not virtual, because the parser is a template over its handler.
+class DepthLimitedDomBuilder : public nlohmann::detail::json_sax_dom_parser<Json> {
   public:
     using Base = nlohmann::detail::json_sax_dom_parser<Json>;
-    explicit BoundedDom(Json& root) : Base(root, false) {}
+    explicit DepthLimitedDomBuilder(Json& root) : Base(root, false) {}
 
     bool binary(Json::binary_t&) { return false; }
     bool start_object(std::size_t size) { return ++depth_ <= kMaxDepth && Base::start_object(size); }
@@ -30,6 +30,7 @@
     int depth_ = 0;
 };
 
+// Returns null if the field is missing or null, or if the value is not a map.
 const Json* find(const Json& map, const char* key) {
     if (!map.is_object()) return nullptr;
     auto it = map.find(key);
@@ -47,19 +48,19 @@
 std::optional<Json> decode(std::string_view bytes) {
     if (bytes.empty()) return std::nullopt;
     Json root;
-    BoundedDom builder(root);
+    DepthLimitedDomBuilder builder(root);
     if (!Json::sax_parse(bytes.begin(), bytes.end(), &builder, nlohmann::detail::input_format_t::msgpack, true))
         return std::nullopt;
     return root;
 }
 
-std::optional<std::string> text(const Json& map, const char* key) {
+std::optional<std::string> get_string(const Json& map, const char* key) {
     const Json* value = find(map, key);
     if (!value || !value->is_string()) return std::nullopt;
     return value->get<std::string>();
 }
 
-std::optional<double> amount(const Json& map, const char* key) {
+std::optional<double> get_number(const Json& map, const char* key) {
     const Json* value = find(map, key);
     if (!value || !value->is_number()) return std::nullopt;
     double number = value->get<double>();
@@ -67,7 +68,7 @@
     return number;
 }
 
-std::optional<std::uint64_t> count(const Json& map, const char* key) {
+std::optional<std::uint64_t> get_unsigned(const Json& map, const char* key) {
     const Json* value = find(map, key);
     if (!value) return std::nullopt;
     if (value->is_number_unsigned()) return value->get<std::uint64_t>();
@@ -75,13 +76,13 @@
     return std::nullopt;
 }
 
-std::optional<bool> flag(const Json& map, const char* key) {
+std::optional<bool> get_bool(const Json& map, const char* key) {
     const Json* value = find(map, key);
     if (!value || !value->is_boolean()) return std::nullopt;
     return value->get<bool>();
 }
 
-const Json* list(const Json& map, const char* key) {
+const Json* get_array(const Json& map, const char* key) {
     const Json* value = find(map, key);
     return value && value->is_array() ? value : nullptr;
 }
