--- a/src/autoscaling/scale_in_policy.cpp
+++ b/src/autoscaling/scale_in_policy.cpp
@@ -67,7 +67,7 @@
     Silence silence;
     for (const auto& [name, tracker] : hosts_.all()) {
         const HostRecord* host = context_.state().host(name);
-        if (!context_.led_here(host) || host->leaves()) continue;
+        if (!context_.leads_host(host) || host->leaves()) continue;
         const bool silent = hosts_.silent(tracker, now);
         for (SilentCount* count : {&silence.byZone[host->zone], &silence.total}) {
             count->silent += silent;
@@ -154,7 +154,7 @@
     const Silence silence = count_silent(now);
     for (const auto& [name, tracker] : hosts_.all()) {
         const HostRecord* host = context_.state().host(name);
-        if (!context_.led_here(host) || host->leaves()) continue;
+        if (!context_.leads_host(host) || host->leaves()) continue;
         const Verdict verdict = judge_led(*host, tracker, silence, now);
         if (verdict.reason == Reason::none) continue;
         const auto atS = verdict.maySave ? markedAtS : expiredAtS;
--- a/src/controller/commands.cpp
+++ b/src/controller/commands.cpp
@@ -37,7 +37,7 @@
     std::vector<wire::Command> acknowledgements, stops, starts;
     HostRecord* h = context_.state().host(host);
     HostTracker* n = hosts_.find(host);
-    if (!context_.led_here(h) || !n) return {};
+    if (!context_.leads_host(h) || !n) return {};
     std::map<TaskKey, std::uint32_t> placedHere;
     for (const TaskRef& ref : h->placed) {
         Task s = ref.job->task(ref.index, context_.state().chunk_size());
@@ -104,7 +104,7 @@
         const std::string name = *it;
         HostRecord* h = context_.state().host(name);
         HostTracker* n = hosts_.find(name);
-        if (!context_.led_here(h) || !n || h->gone()) {
+        if (!context_.leads_host(h) || !n || h->gone()) {
             // The tasks of a machine that is gone stay due until each has been cleared by whoever is responsible.
             it = h && (h->gone() || h->removed()) && !h->placed.empty() ? std::next(it)
                                                                         : schedule_.due_hosts().erase(it);
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -46,7 +46,7 @@
     // A new fencing token, ours again or somebody else's: until the host confirms it, older commands may still reach
     // the host.
     context_.state().onRegistered = [this](HostRecord& h) {
-        if (context_.led_here(&h)) {
+        if (context_.leads_host(&h)) {
             HostTracker& n = hosts_.track(h.name);
             n.begin_leadership(h.fencingToken, context_.now().steady);
             spdlog::debug("leader of host {} under fencing token {} at revision {}", h.name, h.fencingToken,
@@ -150,7 +150,7 @@
             it = hosts_.all().erase(it);
             continue;
         }
-        if (context_.state_ready() && !context_.led_here(h)) {
+        if (context_.state_ready() && !context_.leads_host(h)) {
             if (n.state != HostState::released) {
                 n.state.become(HostState::released);
                 spdlog::info("no longer leader of host {}", name);
@@ -189,7 +189,7 @@
     state::TransactionBuilder builder = new_transaction();
     schedule_.begin_round();
     if (!context_.state_ready() || !context_.serving() || !context_.member_revision()) return builder;
-    if (limits_.propose_switch(builder)) return builder;
+    if (limits_.propose_layout_switch(builder)) return builder;
     limits_.split_shards(builder, now);
     failover_.acquire_hosts(builder, now);
     // Small transactions may be full before the last stage has had its turn: the next round then begins with that.
@@ -206,11 +206,11 @@
     return builder;
 }
 
-peers::PeerStatus Core::own_peer_status(double storeAgeS, Timestamp now) const {
-    peers::PeerStatus peerStatus{settings_.member, context_.incarnation(), storeAgeS, context_.serving(), {}};
+peers::PeerStatus Core::own_peer_status(double storeContactAgeS, Timestamp now) const {
+    peers::PeerStatus peerStatus{settings_.member, context_.incarnation(), storeContactAgeS, context_.serving(), {}};
     for (const auto& [name, n] : hosts_.all()) {
         const HostRecord* h = context_.state().host(name);
-        if (context_.led_here(h) && !eligibility_.eligible(*h, now))
+        if (context_.leads_host(h) && !eligibility_.eligible(*h, now))
             peerStatus.unusable.push_back({name, n.unreachable()});
     }
     peerStatus.sort();
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -153,8 +153,8 @@
 
     // --- peers
     void set_peer_status(const peers::PeerStatus& peerStatus, Timestamp now) { peers_.receive(peerStatus, now); }
-    peers::PeerStatus own_peer_status(double storeAgeS, Timestamp now) const;
-    bool peer_has_store(Timestamp now) const { return peers_.any_has_state_service(now); }
+    peers::PeerStatus own_peer_status(double storeContactAgeS, Timestamp now) const;
+    bool peer_has_store(Timestamp now) const { return peers_.any_reaches_store(now); }
     // All cancellations that are confirmed, as far as this controller knows.
     std::vector<std::string> cancellations() const { return cancellations_.all(); }
     void record_cancellations(const std::vector<std::string>& ids) { cancellations_.record(ids); }
--- a/src/failover/host_failover.cpp
+++ b/src/failover/host_failover.cpp
@@ -47,7 +47,7 @@
         return {};
     // The cloud has said that this host is gone: the heartbeat is a late copy.
     if (host && host->gone()) return {};
-    if (context_.led_here(host)) return admit_own(heartbeat, *host);
+    if (context_.leads_host(host)) return admit_own(heartbeat, *host);
     if (!context_.serving() || !context_.member_revision()) return {};
 
     std::string leader = host && host->registered() ? host->leader : "";
@@ -136,7 +136,7 @@
     bool fits = true;
     for (auto it = acquisitionRequests_.begin(); it != acquisitionRequests_.end();) {
         const HostRecord* host = context_.state().host(it->first);
-        const bool acquired = context_.led_here(host) && it->second.fencingToken <= host->fencingToken;
+        const bool acquired = context_.leads_host(host) && it->second.fencingToken <= host->fencingToken;
         if (acquired || (host && host->gone())) {
             it = acquisitionRequests_.erase(it);
             continue;
@@ -168,7 +168,7 @@
     for (const auto& [name, tracker] : hosts_.all()) {
         HostRecord* host = context_.state().host(name);
         // A host that no answer reaches could not confirm the new token.
-        if (!tracker.needFence || tracker.unreachable() || !context_.led_here(host)) continue;
+        if (!tracker.needFence || tracker.unreachable() || !context_.leads_host(host)) continue;
         if (!builder.acquire(*host, context_.member(), context_.incarnation())) return false;
     }
     return true;
@@ -177,7 +177,7 @@
 bool HostFailover::acquire_assigned(TransactionBuilder& builder, const ShardSet& rewritten) {
     for (const auto& [key, shard] : context_.state().shards()) {
         if (rewritten.count(shard.get())) continue;
-        const bool assignedHere = assignment_.assigned_here(*shard);
+        const bool assignedHere = assignment_.assigned_to_self(*shard);
         for (HostRecord* host : shard->hosts) {
             if (!may_acquire_unowned(*host)) continue;
             if (!assignedHere && host->leader != context_.member()) continue;
@@ -203,7 +203,7 @@
     bool any = false;
     for (HostRecord* host : shard.hosts) {
         const HostTracker* tracker = hosts_.find(host->name);
-        if (!context_.led_here(host) || host->leaves() || !tracker) continue;
+        if (!context_.leads_host(host) || host->leaves() || !tracker) continue;
         if (tracker->state != HostState::confirmed || tracker->needFence || tracker->missedAnswers) continue;
         any = builder.acquire(*host, member, incarnation) || any;
     }
--- a/src/leadership/availability.cpp
+++ b/src/leadership/availability.cpp
@@ -20,14 +20,14 @@
                                       const AvailabilityLimits& l) {
     // Before all else, whatever the service answers to other requests, whatever the peers say, from whichever state:
     // renewals and commits can be served while reads fail or hang, and commands come from what was read.
-    if (h.stateReadAgeS > answer_window(l))
+    if (h.cancellationsReadAgeS > answer_window(l))
         return now == state::Availability::joining ? now : state::Availability::isolated;
-    bool silent = h.storeAgeS > kStoreSilentS;
+    bool silent = h.storeContactAgeS > kStoreSilentS;
     if (!silent && h.registered) return state::Availability::serving;
     if (now == state::Availability::joining) return state::Availability::joining;
     if (!silent) return now == state::Availability::serving ? state::Availability::disconnected : now;
     // The state service answers others: it is us.
-    if (h.peerHasStore) return state::Availability::isolated;
+    if (h.peerReachesStore) return state::Availability::isolated;
     // It may be an outage that everybody has, or we may have lost the other controllers, too; that cannot be told
     // apart. Our machines are answered for as long as the contact allows.
     return state::Availability::disconnected;
--- a/src/leadership/availability.hpp
+++ b/src/leadership/availability.hpp
@@ -6,14 +6,14 @@
 namespace wellstair::leadership {
 
 struct AvailabilitySignals {
-    bool registered = false;    // our member key stands, as far as we have seen
-    double storeAgeS = 0;       // since the state service last answered us, whatever it was asked
-    double stateReadAgeS = 0;   // since when a cancellation may have been confirmed that we do not know of
-    bool hasPeers = false;      // there are other controllers
-    bool peerHeard = false;     // one of them has spoken to us a moment ago
-    bool peerHasStore = false;  // and says that the state service answers it
-    double disconnectedS = 0;   // for how long we have been disconnected
-    double readFailedS = 0;     // for how long no read of the state has succeeded although it was tried
+    bool registered = false;           // our member key stands, as far as we have seen
+    double storeContactAgeS = 0;       // since the state service last answered us, whatever it was asked
+    double cancellationsReadAgeS = 0;  // since when a cancellation may have been confirmed that we do not know of
+    bool hasPeers = false;             // there are other controllers
+    bool peerHeard = false;            // one of them has spoken to us a moment ago
+    bool peerReachesStore = false;     // and says that the state service answers it
+    double disconnectedS = 0;          // for how long we have been disconnected
+    double readFailedS = 0;            // for how long no read of the state has succeeded although it was tried
 };
 
 struct AvailabilityLimits {
--- a/src/leadership/controller_context.cpp
+++ b/src/leadership/controller_context.cpp
@@ -29,7 +29,7 @@
     return it != state_->members().end() && it->second.incarnation == incarnation_ ? it->second.revision : 0;
 }
 
-bool ControllerContext::led_here(const state::HostRecord* host) const {
+bool ControllerContext::leads_host(const state::HostRecord* host) const {
     return host && host->registered() && host->leader == settings_.member && host->incarnation == incarnation_;
 }
 
--- a/src/leadership/controller_context.hpp
+++ b/src/leadership/controller_context.hpp
@@ -42,7 +42,7 @@
     std::uint64_t member_revision() const;
 
     // Whether this very process is the leader of the host, by the cached state.
-    bool led_here(const state::HostRecord* host) const;
+    bool leads_host(const state::HostRecord* host) const;
     // Whether the process that leads the host has ended.
     bool unowned(const state::HostRecord& host) const;
     // Whether this controller is the one to end the job, stop its gang and place what any controller may place. That
--- a/src/leadership/shard_assignment.cpp
+++ b/src/leadership/shard_assignment.cpp
@@ -34,7 +34,7 @@
     return kNone;
 }
 
-bool ShardAssignment::assigned_here(const state::HostShard& shard) const {
+bool ShardAssignment::assigned_to_self(const state::HostShard& shard) const {
     return preferred_leader(shard) == context_.member();
 }
 
--- a/src/leadership/shard_assignment.hpp
+++ b/src/leadership/shard_assignment.hpp
@@ -18,7 +18,7 @@
     // While all live, the controllers of the shard's zone (or all, if the zone has none) have equal parts of the
     // shards. The shards of one that has failed are spread over the live ones of that zone first.
     const std::string& preferred_leader(const state::HostShard& shard) const;
-    bool assigned_here(const state::HostShard& shard) const;
+    bool assigned_to_self(const state::HostShard& shard) const;
 
   private:
     const ControllerContext& context_;
--- a/src/leadership/state_limit_policy.cpp
+++ b/src/leadership/state_limit_policy.cpp
@@ -71,7 +71,7 @@
     return it != members.end() && it->second.layout >= state::kLayoutWithSplitShards;
 }
 
-bool StateLimitPolicy::propose_switch(state::TransactionBuilder& builder) const {
+bool StateLimitPolicy::propose_layout_switch(state::TransactionBuilder& builder) const {
     const config::Settings& settings = context_.settings();
     if (!settings.nextState || context_.state().layout_revision()) return false;
     if (!can_write_split_shards(settings.member)) return false;
@@ -85,7 +85,7 @@
     if (!splitting_allowed() || now.steady - lastSplitS_ < splitIntervalS) return;
     for (const auto& [key, shard] : context_.state().shards()) {
         if (shard->size.bytes() <= limits().value_bytes() || rejectedKeysUntil_.count(key)) continue;
-        if (!assignment_.assigned_here(*shard)) continue;
+        if (!assignment_.assigned_to_self(*shard)) continue;
         lastSplitS_ = now.steady;
         builder.split(*shard);
         schedule_.request_round();
--- a/src/leadership/state_limit_policy.hpp
+++ b/src/leadership/state_limit_policy.hpp
@@ -35,7 +35,7 @@
     void expire_rejections(Timestamp now);
 
     // Proposes the layout switch once every member can write the newer layout. Returns whether it was proposed.
-    bool propose_switch(state::TransactionBuilder& builder) const;
+    bool propose_layout_switch(state::TransactionBuilder& builder) const;
     // Splits one shard that is larger than the announced limit allows, before anything has to be changed in it.
     void split_shards(state::TransactionBuilder& builder, Timestamp now);
 
--- a/src/peers/packet.cpp
+++ b/src/peers/packet.cpp
@@ -39,14 +39,15 @@
 
 PacketHeader header_of(const PeerStatus& status) {
     PacketHeader header;
-    header.hosts = static_cast<std::uint32_t>(std::min(status.unusable.size(), kMaxHosts));
+    header.unusableCount = static_cast<std::uint32_t>(std::min(status.unusable.size(), kMaxHosts));
     header.incarnation = status.incarnation;
-    header.storeAgeMs = static_cast<std::uint32_t>(std::clamp(status.storeAgeS * kMsPerS, 0.0, kMaxStoreAgeMs));
+    header.storeContactAgeMs =
+        static_cast<std::uint32_t>(std::clamp(status.storeContactAgeS * kMsPerS, 0.0, kMaxStoreAgeMs));
     header.serving = status.serving;
-    header.cancelled = static_cast<std::uint32_t>(std::min(status.cancelled.size(), kMaxCancelled));
+    header.cancelledCount = static_cast<std::uint32_t>(std::min(status.cancelled.size(), kMaxCancelled));
     header.requestNumber = status.requestNumber;
     // A list that was cut short acknowledges nothing.
-    const bool complete = header.cancelled == status.cancelled.size();
+    const bool complete = header.cancelledCount == status.cancelled.size();
     header.acknowledged = complete ? status.acknowledged : 0;
     put_text(header.member, status.member);
     return header;
@@ -58,13 +59,13 @@
     const PacketHeader header = header_of(peerStatus);
     std::string bytes;
     append(bytes, header);
-    for (std::size_t i = 0; i < header.hosts; ++i) {
+    for (std::size_t i = 0; i < header.unusableCount; ++i) {
         UnusableHostEntry entry;
         put_text(entry.name, peerStatus.unusable[i].name);
         entry.unreachable = peerStatus.unusable[i].unreachable;
         append(bytes, entry);
     }
-    for (std::size_t i = 0; i < header.cancelled; ++i) {
+    for (std::size_t i = 0; i < header.cancelledCount; ++i) {
         CancelledJob entry;
         put_text(entry.id, peerStatus.cancelled[i]);
         append(bytes, entry);
@@ -75,9 +76,10 @@
 std::optional<std::size_t> packed_size(std::string_view bytes) {
     if (bytes.size() < sizeof(PacketHeader)) return std::nullopt;
     const auto header = take<PacketHeader>(bytes);
-    if (header.magic != kMagic || header.version != kVersion) return std::nullopt;
-    if (header.hosts > kMaxHosts || header.cancelled > kMaxCancelled) return std::nullopt;
-    return sizeof header + header.hosts * sizeof(UnusableHostEntry) + header.cancelled * sizeof(CancelledJob);
+    if (header.magic != kPacketMagic || header.version != kPacketVersion) return std::nullopt;
+    if (header.unusableCount > kMaxHosts || header.cancelledCount > kMaxCancelled) return std::nullopt;
+    return sizeof header + header.unusableCount * sizeof(UnusableHostEntry) +
+           header.cancelledCount * sizeof(CancelledJob);
 }
 
 std::optional<PeerStatus> unpack(std::string_view bytes) {
@@ -87,15 +89,15 @@
     PeerStatus status;
     status.member = get_text(header.member);
     status.incarnation = header.incarnation;
-    status.storeAgeS = header.storeAgeMs / kMsPerS;
+    status.storeContactAgeS = header.storeContactAgeMs / kMsPerS;
     status.serving = header.serving != 0;
     status.requestNumber = header.requestNumber;
     status.acknowledged = header.acknowledged;
-    for (std::size_t i = 0; i < header.hosts; ++i) {
+    for (std::size_t i = 0; i < header.unusableCount; ++i) {
         const auto entry = take<UnusableHostEntry>(bytes);
         status.unusable.push_back({get_text(entry.name), entry.unreachable != 0});
     }
-    for (std::size_t i = 0; i < header.cancelled; ++i)
+    for (std::size_t i = 0; i < header.cancelledCount; ++i)
         status.cancelled.push_back(get_text(take<CancelledJob>(bytes).id));
     status.sort();
     return status;
--- a/src/peers/packet.hpp
+++ b/src/peers/packet.hpp
@@ -4,8 +4,8 @@
 // acknowledgement: the answer to the receiver's last request, with all cancellations that the sender knows to be
 // confirmed (docs/design.md). Pure functions, safe from any thread; bytes that are no packet are returned as nothing.
 //
-// Layout: PacketHeader, then `hosts` times UnusableHostEntry, then `cancelled` times CancelledJob. Texts end at the
-// first zero byte or with their field.
+// Layout: PacketHeader, then `unusableCount` times UnusableHostEntry, then `cancelledCount` times CancelledJob. Texts
+// end at the first zero byte or with their field.
 #pragma once
 
 #include <algorithm>
@@ -18,22 +18,22 @@
 
 namespace wellstair::peers {
 
-inline constexpr std::uint32_t kMagic = 0x77737472;  // "wstr"
-inline constexpr std::uint16_t kVersion = 4;
+inline constexpr std::uint32_t kPacketMagic = 0x77737472;  // "wstr"
+inline constexpr std::uint16_t kPacketVersion = 4;
 
 #pragma pack(push, 1)
 struct PacketHeader {
-    std::uint32_t magic = kMagic;
-    std::uint16_t version = kVersion;
+    std::uint32_t magic = kPacketMagic;
+    std::uint16_t version = kPacketVersion;
     std::uint8_t serving = 0;  // 1: the sender's member key in the state service exists
     std::uint8_t unused = 0;
-    std::uint32_t hosts = 0;          // UnusableHostEntry entries that follow
-    std::uint64_t incarnation = 0;    // of the sender's process
-    std::uint32_t storeAgeMs = 0;     // milliseconds since the state service last answered the sender
-    std::uint32_t cancelled = 0;      // CancelledJob entries that follow the hosts
-    std::uint64_t requestNumber = 0;  // the sender's newest request for an acknowledgement
-    std::uint64_t acknowledged = 0;   // the receiver's newest request that the sender has heard; 0: cannot answer now
-    char member[32] = {};             // the sender's name
+    std::uint32_t unusableCount = 0;      // UnusableHostEntry entries that follow
+    std::uint64_t incarnation = 0;        // of the sender's process
+    std::uint32_t storeContactAgeMs = 0;  // milliseconds since the state service last answered the sender
+    std::uint32_t cancelledCount = 0;     // CancelledJob entries that follow the hosts
+    std::uint64_t requestNumber = 0;      // the sender's newest request for an acknowledgement
+    std::uint64_t acknowledged = 0;  // the receiver's newest request that the sender has heard; 0: cannot answer now
+    char member[32] = {};            // the sender's name
 };
 
 // One of the sender's machines that cannot take work now.
@@ -61,7 +61,7 @@
 struct PeerStatus {
     std::string member;                    // the sender's name
     std::uint64_t incarnation = 0;         // of the sender's process
-    double storeAgeS = 0;                  // seconds since the state service last answered the sender
+    double storeContactAgeS = 0;           // seconds since the state service last answered the sender
     bool serving = false;                  // its member key in the state service exists
     std::vector<UnusableHost> unusable{};  // by name: plans look up each machine, and a lost zone lists hundreds
 
@@ -81,7 +81,7 @@
         return it != unusable.end() && it->name == host ? &*it : nullptr;
     }
     // Whether the host is unusable.
-    bool lists(const std::string& host) const { return find(host); }
+    bool is_unusable(const std::string& host) const { return find(host); }
     bool unreachable(const std::string& host) const {
         const UnusableHost* entry = find(host);
         return entry && entry->unreachable;
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -28,7 +28,8 @@
 
 }  // namespace
 
-PeerNetwork::PeerNetwork(asio::io_context& io, const config::Settings& settings, OwnStatus ownStatus, OnStatus onStatus)
+PeerNetwork::PeerNetwork(asio::io_context& io, const config::Settings& settings, StatusProvider ownStatus,
+                         StatusHandler onStatus)
     : io_(io), settings_(settings), acceptor_(io), ownStatus_(std::move(ownStatus)), onStatus_(std::move(onStatus)) {
     tcp::endpoint at(asio::ip::make_address_v4(settings.internal.host), settings.internal.port);
     acceptor_.open(at.protocol());
--- a/src/peers/peer_network.hpp
+++ b/src/peers/peer_network.hpp
@@ -21,12 +21,13 @@
 class PeerNetwork {
   public:
     // The packet to be sent to a receiver now.
-    using OwnStatus = std::function<PeerStatus(const std::string& receiver)>;
+    using StatusProvider = std::function<PeerStatus(const std::string& receiver)>;
     // Takes in a packet that has come.
-    using OnStatus = std::function<void(const PeerStatus&)>;
+    using StatusHandler = std::function<void(const PeerStatus&)>;
 
     // Binds the internal address of the settings, which must outlive it.
-    PeerNetwork(asio::io_context& io, const config::Settings& settings, OwnStatus ownStatus, OnStatus onStatus);
+    PeerNetwork(asio::io_context& io, const config::Settings& settings, StatusProvider ownStatus,
+                StatusHandler onStatus);
 
     // Starts to receive, and to send to each of the other controllers.
     void start();
@@ -40,8 +41,8 @@
     asio::io_context& io_;
     const config::Settings& settings_;
     asio::ip::tcp::acceptor acceptor_;
-    OwnStatus ownStatus_;
-    OnStatus onStatus_;
+    StatusProvider ownStatus_;
+    StatusHandler onStatus_;
     std::size_t open_ = 0;  // connections of others to us
 };
 
--- a/src/peers/peer_table.cpp
+++ b/src/peers/peer_table.cpp
@@ -22,12 +22,12 @@
                        [&](const auto& entry) { return entry.second.age(now) < kHeardWithinS; });
 }
 
-bool PeerTable::any_has_state_service(Timestamp now) const {
+bool PeerTable::any_reaches_store(Timestamp now) const {
     // Counted up to now, not up to when it was said: when an outage begins, the others' last statuses still tell of a
     // state service that answers, and to become isolated for that would leave every host without a leader.
     return std::any_of(statuses_.begin(), statuses_.end(), [&](const auto& entry) {
         const ReceivedStatus& received = entry.second;
-        return received.status.serving && received.status.storeAgeS + received.age(now) < kStateServiceWithinS;
+        return received.status.serving && received.status.storeContactAgeS + received.age(now) < kStateServiceWithinS;
     });
 }
 
--- a/src/peers/peer_table.hpp
+++ b/src/peers/peer_table.hpp
@@ -26,7 +26,7 @@
     // Whether some other controller has been heard a moment ago.
     bool any_heard(Timestamp now) const;
     // Whether the state service answers some other controller.
-    bool any_has_state_service(Timestamp now) const;
+    bool any_reaches_store(Timestamp now) const;
 
   private:
     std::map<std::string, ReceivedStatus> statuses_;
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -60,7 +60,7 @@
 void TaskReconciler::apply_status(const wire::Heartbeat& heartbeat, StatusSource source, Timestamp now) {
     context_.set_now(now);
     HostRecord* host = context_.state().host(heartbeat.host);
-    if (!context_.led_here(host)) return;
+    if (!context_.leads_host(host)) return;
     HostTracker& tracker = hosts_.track(heartbeat.host);
     if (!tracker.newer(heartbeat)) return;  // held back on the way, or overtaken
     const ObservedTasks tasksBefore = tracker.tasks;
@@ -130,7 +130,7 @@
     for (const std::string& name : schedule_.due_hosts()) {
         HostRecord* host = context_.state().host(name);
         if (!host || host->placed.empty()) continue;
-        if (!host->gone() && !host->removed() && !context_.led_here(host)) continue;
+        if (!host->gone() && !host->removed() && !context_.leads_host(host)) continue;
         if (!release_tasks_of(*host, builder, now)) {
             schedule_.request_round();
             return;
--- a/src/reconciliation/termination_proof.cpp
+++ b/src/reconciliation/termination_proof.cpp
@@ -30,7 +30,7 @@
     // shard may name a removed host.
     if (host.gone() || host.removed())
         return context_.responsible(*ref.job) ? gone("the cloud has the machine") : TerminationProof{};
-    if (!context_.led_here(&host)) return {};
+    if (!context_.leads_host(&host)) return {};
     HostTracker* tracker = hosts_.find(host.name);
     if (!tracker) return {};
     if (tracker->state == HostState::expired) return gone("the lease has expired");
--- a/src/scheduling/host_eligibility.cpp
+++ b/src/scheduling/host_eligibility.cpp
@@ -19,7 +19,7 @@
 
 bool HostEligibility::eligible(const HostRecord& host, Timestamp now) const {
     if (!host.registered() || host.leaves() || !context_.state().member_live(host.leader)) return false;
-    return context_.led_here(&host) ? own_host_eligible(host, now) : peer_host_eligible(host, now);
+    return context_.leads_host(&host) ? own_host_eligible(host, now) : peer_host_eligible(host, now);
 }
 
 bool HostEligibility::own_host_eligible(const HostRecord& host, Timestamp now) const {
@@ -33,7 +33,7 @@
 bool HostEligibility::peer_host_eligible(const HostRecord& host, Timestamp now) const {
     const double intervalS = context_.settings().heartbeatIntervalS;
     const peers::ReceivedStatus* leader = peers_.find(host.leader);
-    if (leader && leader->age(now) < intervalS && leader->status.lists(host.name)) return false;
+    if (leader && leader->age(now) < intervalS && leader->status.is_unusable(host.name)) return false;
     if (start_overdue(host.name, now)) return false;
     // Just registered: its leader waits for the host to confirm the fencing token.
     return now.wall - host.registeredS > intervalS / kNewRegistrationDivisor;
--- a/src/scheduling/placement_model.cpp
+++ b/src/scheduling/placement_model.cpp
@@ -76,7 +76,7 @@
 
 Machine PlacementModel::machine_of(const HostRecord& host, Timestamp now) {
     const wire::MachineType& type = *context_.state().type(host.machineType);
-    const bool ledHere = context_.led_here(&host);
+    const bool ledHere = context_.leads_host(&host);
     Machine machine;
     machine.nodePool = node_pool_id(host.machineType, host.zone, host.spot);
     machine.zone = zone_id(host.zone);
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -169,7 +169,7 @@
             pass.preempted.insert({victim.job, victim.index});
             reservation.untilS =
                 std::max(reservation.untilS, pass.now.wall + victim.job->spec->checkpointWriteS + stopS);
-            if (context_.led_here(&host)) preempt_task(victim, host, *unmet.job, pass.now);
+            if (context_.leads_host(&host)) preempt_task(victim, host, *unmet.job, pass.now);
         }
     }
     reservations_[unmet.job->id] = std::move(reservation);
--- a/src/scheduling/scheduling_planner.cpp
+++ b/src/scheduling/scheduling_planner.cpp
@@ -51,7 +51,7 @@
 
 bool SchedulingPlanner::starts_here(const PlannedStart& start) const {
     const bool wide = start.tasks.size() > 1;
-    if (!wide && inputs_.context.led_here(start.tasks.front().second)) return true;
+    if (!wide && inputs_.context.leads_host(start.tasks.front().second)) return true;
     // Gangs and services are placed on hosts of any leader.
     return (wide || start.job->service()) && inputs_.context.responsible(*start.job);
 }
--- a/src/service/availability_monitor.cpp
+++ b/src/service/availability_monitor.cpp
@@ -19,11 +19,11 @@
         std::max(reader_.last_read_s(), peerStatus_.cancellation_barrier().acknowledged_until(core.others()));
     leadership::AvailabilitySignals out;
     out.registered = core.member_revision() != 0;
-    out.storeAgeS = nowS - store_.last_ok();
-    out.stateReadAgeS = nowS - readS;
+    out.storeContactAgeS = nowS - store_.last_ok();
+    out.cancellationsReadAgeS = nowS - readS;
     out.hasPeers = !context_.settings.members.empty();
     out.peerHeard = core.peer_heard(now());
-    out.peerHasStore = core.peer_has_store(now());
+    out.peerReachesStore = core.peer_has_store(now());
     out.disconnectedS = nowS - disconnectedSinceS_;
     out.readFailedS = readBarrier_.failed_since_s() > 0 ? nowS - readBarrier_.failed_since_s() : 0;
     return out;
@@ -47,8 +47,8 @@
     spdlog::info(
         "availability: registered {}, state service answered {:.3f} s ago, read {:.3f} s ago of {:.3f} s, others heard "
         "{}, another has the state service {}",
-        signals.registered, signals.storeAgeS, signals.stateReadAgeS, leadership::answer_window(limits()),
-        signals.peerHeard, signals.peerHasStore);
+        signals.registered, signals.storeContactAgeS, signals.cancellationsReadAgeS,
+        leadership::answer_window(limits()), signals.peerHeard, signals.peerReachesStore);
 }
 
 }  // namespace wellstair::service
--- a/tests/availability_test.cpp
+++ b/tests/availability_test.cpp
@@ -11,10 +11,11 @@
 
 constexpr AvailabilityLimits kLimits{45, 20};
 
-AvailabilitySignals signals(double storeAgeS, bool peerHeard, bool peerHasStore) {
+AvailabilitySignals signals(double storeContactAgeS, bool peerHeard, bool peerReachesStore) {
     AvailabilitySignals heard;
     heard.registered = heard.hasPeers = true;
-    heard.storeAgeS = heard.stateReadAgeS = storeAgeS, heard.peerHeard = peerHeard, heard.peerHasStore = peerHasStore;
+    heard.storeContactAgeS = heard.cancellationsReadAgeS = storeContactAgeS, heard.peerHeard = peerHeard,
+    heard.peerReachesStore = peerReachesStore;
     return heard;
 }
 
@@ -55,8 +56,8 @@
     struct Row {
         Availability before;
         bool registered;
-        double storeAgeS;
-        bool peerHasStore;
+        double storeContactAgeS;
+        bool peerReachesStore;
         Availability inside, outside;
     };
     using enum Availability;
@@ -73,11 +74,11 @@
         {joining, true, 5, false, joining, joining},  // answers nobody either
     };
     for (const Row& row : rows) {
-        AvailabilitySignals heard = signals(row.storeAgeS, true, row.peerHasStore);
+        AvailabilitySignals heard = signals(row.storeContactAgeS, true, row.peerReachesStore);
         heard.registered = row.registered;
-        heard.stateReadAgeS = answer_window(kLimits) - 0.01;
+        heard.cancellationsReadAgeS = answer_window(kLimits) - 0.01;
         EXPECT_EQ(next_availability(row.before, heard, kLimits), row.inside) << &row - rows;
-        heard.stateReadAgeS = answer_window(kLimits) + 0.01;
+        heard.cancellationsReadAgeS = answer_window(kLimits) + 0.01;
         EXPECT_EQ(next_availability(row.before, heard, kLimits), row.outside) << &row - rows;
     }
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -17,7 +17,7 @@
     ASSERT_TRUE(again);
     EXPECT_EQ(again->member, sent.member);
     EXPECT_EQ(again->incarnation, sent.incarnation);
-    EXPECT_DOUBLE_EQ(again->storeAgeS, 1.25);
+    EXPECT_DOUBLE_EQ(again->storeContactAgeS, 1.25);
     EXPECT_TRUE(again->serving);
     EXPECT_EQ(again->unusable, sent.unusable);
     EXPECT_EQ(again->requestNumber, sent.requestNumber);
@@ -57,10 +57,10 @@
     auto again = unpack(pack(sent));
     ASSERT_TRUE(again);
     for (const auto& u : sent.unusable) {
-        EXPECT_TRUE(again->lists(u.name));
+        EXPECT_TRUE(again->is_unusable(u.name));
         EXPECT_EQ(again->unreachable(u.name), u.unreachable);
     }
-    EXPECT_FALSE(again->lists("n-0"));
+    EXPECT_FALSE(again->is_unusable("n-0"));
 }
 
 TEST(Peers, ForeignBytesAreRefused) {
--- a/tests/simulation/cluster_controllers.cpp
+++ b/tests/simulation/cluster_controllers.cpp
@@ -73,8 +73,9 @@
         if (random_.chance(kPeerPacketLost)) continue;
         controller.core->record_cancellations(peer.core->cancellations());
         controller.readBarrier.acknowledge(peer.settings.member, peer.incarnation, requestNumber);
-        const double storeAgeS = state_.nowS - peer.lastStoreAnswerS;
-        controller.core->set_peer_status(peer.core->own_peer_status(storeAgeS, state_.timestamp()), state_.timestamp());
+        const double storeContactAgeS = state_.nowS - peer.lastStoreAnswerS;
+        controller.core->set_peer_status(peer.core->own_peer_status(storeContactAgeS, state_.timestamp()),
+                                         state_.timestamp());
     }
 }
 
@@ -82,12 +83,12 @@
     leadership::AvailabilitySignals signals;
     signals.registered = controller.core->member_revision() != 0;
     signals.hasPeers = true;
-    signals.storeAgeS = state_.nowS - controller.lastStoreAnswerS;
-    signals.stateReadAgeS =
+    signals.storeContactAgeS = state_.nowS - controller.lastStoreAnswerS;
+    signals.cancellationsReadAgeS =
         state_.nowS -
         std::max(controller.lastReadS, controller.readBarrier.acknowledged_until(controller.core->others()));
     signals.peerHeard = controller.core->peer_heard(state_.timestamp());
-    signals.peerHasStore = controller.core->peer_has_store(state_.timestamp());
+    signals.peerReachesStore = controller.core->peer_has_store(state_.timestamp());
     controller.core->set_availability(
         leadership::next_availability(controller.core->availability(), signals, {kCancelS, kLeaseS}),
         state_.timestamp());
--- a/tests/trace_controller_commands.cpp
+++ b/tests/trace_controller_commands.cpp
@@ -76,8 +76,8 @@
     if (!c.refused) c.lastAnswerS = timeS_;
     leadership::AvailabilitySignals signals;
     signals.registered = core.member_revision() != 0;
-    signals.storeAgeS = timeS_ - c.lastAnswerS;
-    signals.stateReadAgeS = timeS_ - std::max(c.lastReadS, c.readBarrier.acknowledged_until(core.others()));
+    signals.storeContactAgeS = timeS_ - c.lastAnswerS;
+    signals.cancellationsReadAgeS = timeS_ - std::max(c.lastReadS, c.readBarrier.acknowledged_until(core.others()));
     for (auto& [name, other] : controllers_) {
         if (&other == &c || !other.core) continue;
         signals.hasPeers = true;
@@ -85,7 +85,7 @@
         core.set_peer_status(other.core->own_peer_status(timeS_ - other.lastAnswerS, now()), now());
     }
     signals.peerHeard = core.peer_heard(now());
-    signals.peerHasStore = core.peer_has_store(now());
+    signals.peerReachesStore = core.peer_has_store(now());
     const leadership::AvailabilityLimits limits{settings_.cancelS, settings_.leaseS};
     core.set_availability(leadership::next_availability(core.availability(), signals, limits), now());
     return state::AvailabilityTraits::name(core.availability());
@@ -114,9 +114,9 @@
 
 std::string TraceRunner::hear_peer_status(Controller& c, std::istringstream& arguments) {
     const std::string peer = next_word(arguments);
-    double storeAgeS = 0;
-    arguments >> storeAgeS;
-    c.core->set_peer_status({peer, 1, storeAgeS, true, {}}, now());
+    double storeContactAgeS = 0;
+    arguments >> storeContactAgeS;
+    c.core->set_peer_status({peer, 1, storeContactAgeS, true, {}}, now());
     return "";
 }
 
