--- a/src/failover/host_failover.cpp
+++ b/src/failover/host_failover.cpp
@@ -17,15 +17,15 @@
 
 namespace {
 
-// Ratios to the heartbeat interval.
-constexpr double kStatusFreshFor = 1.0 / 2;           // a peer's status is no older while that peer is well
-constexpr double kCollectRequestsFor = 1.0 / 16;      // registrations are collected: each rewrites its shard
+// Fractions of the heartbeat interval.
+constexpr double kStatusFreshFor = 1.0 / 2;           // maximum age of the status of a healthy peer
+constexpr double kCollectRequestsFor = 1.0 / 16;      // requests are batched: each registration rewrites its shard
 constexpr double kAcquireAssignedInterval = 1.0 / 8;  // between searches for hosts of failed leaders
 constexpr double kTransferInterval = 1.0 / 4;         // between transfers of a shard
-// A worker that comes back sooner than this only repeats what it had under way.
-constexpr double kLeastRedirectS = 0.3;
-// Leases for which nothing is transferred to a controller that some worker could not reach.
-constexpr double kUnreachedLeases = 2;
+// A heartbeat that arrives sooner than this after a redirect repeats one that was in flight when the worker got it.
+constexpr double kMinRedirectS = 0.3;
+// Leases for which no shard is transferred to a controller that a worker could not reach.
+constexpr double kUnreachableLeases = 2;
 
 }  // namespace
 
@@ -45,38 +45,40 @@
     const Availability availability = context_.availability();
     if (availability == Availability::isolated || availability == Availability::joining || !context_.state_ready())
         return {};
-    // The cloud has said that this host is gone: the heartbeat is a late copy.
+    // The cloud has reported this host as gone: the heartbeat is a delayed copy.
     if (host && host->gone()) return {};
     if (context_.leads_host(host)) return admit_own(heartbeat, *host);
     if (!context_.serving() || !context_.member_revision()) return {};
 
     std::string leader = host && host->registered() ? host->leader : "";
-    if (leader == context_.member()) return {Admission::Decision::acquire, ""};  // an earlier process of this name
+    // Led by an earlier process of this member.
+    if (leader == context_.member()) return {Admission::Decision::acquire, ""};
     if (leader.empty() || !context_.state().member_live(leader)) {
         const HostShard& shard =
             host && host->shard ? *host->shard : context_.state().shard_of(heartbeat.host, heartbeat.zone);
         leader = assignment_.preferred_leader(shard);
     }
     if (leader == context_.member() || leader.empty()) return {Admission::Decision::acquire, ""};
-    return admit_of_peer(heartbeat, leader, now);
+    return admit_for_peer(heartbeat, leader, now);
 }
 
 Admission HostFailover::admit_own(const wire::Heartbeat& heartbeat, const HostRecord& host) const {
-    // A higher fencing token was handed out by a controller whose registration the watch has not shown yet, or cannot.
+    // Another controller has issued a higher fencing token; its registration has not arrived through the watch, or
+    // cannot arrive during an outage.
     if (heartbeat.fencingToken > host.fencingToken)
         return context_.serving() ? Admission{Admission::Decision::acquire, ""} : Admission{};
-    // Without the state service the host cannot get a higher fencing token: only the end of its agent epoch is sure to
-    // end a start that is still under way.
+    // Without the state service the host cannot get a higher fencing token. Only the end of its agent epoch reliably
+    // prevents the execution of a start command in flight.
     if (!context_.serving() && cancellations_.may_start_cancelled(host)) return {};
-    // Also in an outage: without an answer the worker's lease would expire and its work be lost.
+    // Also during an outage: without an answer the worker's lease would expire and its work would be lost.
     return {Admission::Decision::accept, ""};
 }
 
-// The leader is alive. Workers leave a controller only when it fails them; but a copy of a heartbeat that arrives late
-// is no sign of that, nor are the heartbeats of a host that no answer reaches: its leader gets those too and says so in
-// its status. A host is taken from a live leader once in a lease at most, or such hosts would be registered over and
-// over.
-Admission HostFailover::admit_of_peer(const wire::Heartbeat& heartbeat, const std::string& leader, Timestamp now) {
+// Decides for a host whose leader is alive. Workers try another controller only when their leader fails them. Two kinds
+// of heartbeat do not indicate that: a delayed copy, and those of a host that no answer reaches, which its leader
+// receives as well and reports in its status. A host is taken from a live leader at most once per lease; otherwise such
+// hosts would be registered again and again.
+Admission HostFailover::admit_for_peer(const wire::Heartbeat& heartbeat, const std::string& leader, Timestamp now) {
     const config::Settings& settings = context_.settings();
     const peers::ReceivedStatus* peer = peers_.find(leader);
     Redirect& last = redirects_[heartbeat.host];
@@ -85,15 +87,15 @@
     const bool fresh = peer && peer->age(now) < kStatusFreshFor * settings.heartbeatIntervalS;
     const bool unreachable = fresh && peer->status.unreachable(heartbeat.host);
     auto taken = takenOverAtS_.find(heartbeat.host);
-    const bool takenLately = taken != takenOverAtS_.end() && now.steady - taken->second <= settings.leaseS;
-    const bool mayTakeOver = newer && !unreachable && !takenLately;
-    // A leader that no longer serves, or whose status no longer arrives, would only fail the worker again.
+    const bool takenRecently = taken != takenOverAtS_.end() && now.steady - taken->second <= settings.leaseS;
+    const bool mayTakeOver = newer && !unreachable && !takenRecently;
+    // A leader that is not serving, or whose status no longer arrives, would fail the worker again.
     const bool leaderFailing = peer && (!peer->status.serving || !fresh);
-    // A worker that is back soon after a redirect could not reach the controller it was sent to.
-    const bool cameBack = sinceRedirectS > kLeastRedirectS && sinceRedirectS < settings.leaseS;
-    if (mayTakeOver && (leaderFailing || cameBack)) {
+    // A worker that returns within a lease of its redirect could not reach the controller that it was sent to.
+    const bool returned = sinceRedirectS > kMinRedirectS && sinceRedirectS < settings.leaseS;
+    if (mayTakeOver && (leaderFailing || returned)) {
         takenOverAtS_[heartbeat.host] = now.steady;
-        unreachedAtS_[leader] = now.steady;
+        unreachableAtS_[leader] = now.steady;
         last = {now.steady, heartbeat.agentEpoch, heartbeat.sequence};
         return {Admission::Decision::acquire, ""};
     }
@@ -112,7 +114,7 @@
     for (const auto& [name, member] : context_.state().members())
         membersRevision = std::max(membersRevision, member.revision) + 1;
     const double intervalS = context_.settings().heartbeatIntervalS;
-    const bool membersChanged = membersRevision != membersRevision_;
+    const bool membersChanged = membersRevision != acquiredMembersRevision_;
     if (!membersChanged && now.steady - lastAcquisitionS_ < kCollectRequestsFor * intervalS) {
         if (!acquisitionRequests_.empty()) schedule_.request_round();
         return;
@@ -123,11 +125,11 @@
         return;
     }
     if (!renew_fencing_tokens(builder)) return;
-    const bool searchedLately = now.steady - lastAcquisitionS_ < kAcquireAssignedInterval * intervalS;
-    if (!membersChanged && rewritten.empty() && searchedLately) return;
+    const bool searchedRecently = now.steady - lastAcquisitionS_ < kAcquireAssignedInterval * intervalS;
+    if (!membersChanged && rewritten.empty() && searchedRecently) return;
     lastAcquisitionS_ = now.steady;
     if (acquire_assigned(builder, rewritten))
-        membersRevision_ = membersRevision;
+        acquiredMembersRevision_ = membersRevision;
     else
         schedule_.request_round();
 }
@@ -143,11 +145,11 @@
         }
         const wire::Heartbeat& heartbeat = (it++)->second;
         if (!builder.acquire(heartbeat, context_.member(), context_.incarnation())) {
-            fits = false;  // for another shard; other hosts of the shards that are rewritten may still go along
+            fits = false;  // no room for another shard; hosts of shards that are rewritten already may still fit
             continue;
         }
         lastAcquisitionS_ = now.steady;
-        // The shard is rewritten anyway: its unowned hosts go along before a small transaction is full of other shards.
+        // The shard is rewritten anyway, so its unowned hosts are added before other shards fill a small transaction.
         const bool firstOfShard = host && host->shard && rewritten.insert(host->shard).second;
         if (firstOfShard && !acquire_unowned(builder, *host->shard)) fits = false;
     }
@@ -167,7 +169,7 @@
 bool HostFailover::renew_fencing_tokens(TransactionBuilder& builder) {
     for (const auto& [name, tracker] : hosts_.all()) {
         HostRecord* host = context_.state().host(name);
-        // A host that no answer reaches could not confirm the new token.
+        // An unreachable host could not confirm the new token.
         if (!tracker.needFence || tracker.unreachable() || !context_.leads_host(host)) continue;
         if (!builder.acquire(*host, context_.member(), context_.incarnation())) return false;
     }
@@ -194,20 +196,21 @@
     const bool established = now.wall - record.sinceS > settings.heartbeatIntervalS && peer && peer->status.serving &&
                              peer->age(now) < kStatusFreshFor * settings.heartbeatIntervalS;
     if (!established) return false;
-    auto unreached = unreachedAtS_.find(member);
-    return unreached == unreachedAtS_.end() || now.steady - unreached->second >= kUnreachedLeases * settings.leaseS;
+    auto unreachable = unreachableAtS_.find(member);
+    return unreachable == unreachableAtS_.end() ||
+           now.steady - unreachable->second >= kUnreachableLeases * settings.leaseS;
 }
 
 bool HostFailover::transfer_shard(TransactionBuilder& builder, const HostShard& shard, const std::string& member) {
     const std::uint64_t incarnation = context_.state().members().at(member).incarnation;
-    bool any = false;
+    bool transferred = false;
     for (HostRecord* host : shard.hosts) {
         const HostTracker* tracker = hosts_.find(host->name);
         if (!context_.leads_host(host) || host->leaves() || !tracker) continue;
         if (tracker->state != HostState::confirmed || tracker->needFence || tracker->missedAnswers) continue;
-        any = builder.acquire(*host, member, incarnation) || any;
+        transferred = builder.acquire(*host, member, incarnation) || transferred;
     }
-    return any;
+    return transferred;
 }
 
 void HostFailover::transfer_hosts(TransactionBuilder& builder, Timestamp now) {
@@ -217,7 +220,7 @@
         const std::string& member = assignment_.preferred_leader(*shard);
         if (member.empty() || member == context_.member() || !may_transfer_to(member, now)) continue;
         if (!transfer_shard(builder, *shard, member)) continue;
-        spdlog::info("transfer {} to {}", key, member);
+        spdlog::info("transferring host shard {} to its assigned controller {}", key, member);
         return;
     }
 }
--- a/src/failover/host_failover.hpp
+++ b/src/failover/host_failover.hpp
@@ -1,8 +1,8 @@
-// Which controller leads which host: admits or redirects workers, acquires hosts whose leader has failed, and transfers
-// them back once the controller they are assigned to has returned.
+// Host leadership: admits or redirects workers, acquires hosts whose leader has failed, and transfers them back once
+// the controller that they are assigned to has returned.
 //
-// Owns the acquisition requests and what is remembered of redirects and takeovers. A leadership exists only once its
-// registration is durable in the state service; fencing tokens are chosen there (TransactionBuilder::acquire).
+// Owns the acquisition requests and the records of redirects and takeovers. A leadership exists only once its
+// registration is durable in the state service; fencing tokens are chosen by TransactionBuilder::acquire.
 // Single-threaded, free of I/O.
 #pragma once
 
@@ -22,15 +22,15 @@
 
 namespace wellstair::failover {
 
-// What becomes of a worker that sends its heartbeats here.
+// Decision on a worker that sends its heartbeats to this controller.
 struct Admission {
     enum class Decision {
-        accept,    // this controller is its leader
-        acquire,   // this controller should become its leader
-        redirect,  // another controller is
-        refuse,    // nothing can be said now
+        accept,    // this controller leads the host
+        acquire,   // this controller should become the host's leader
+        redirect,  // another controller leads the host
+        refuse,    // this controller cannot or must not answer the worker now
     } decision = Decision::refuse;
-    std::string leader;  // redirect: whom the worker should send its heartbeats to
+    std::string leader;  // for `redirect`: the member that the worker should send its heartbeats to
 };
 
 class HostFailover {
@@ -39,31 +39,34 @@
                  const leadership::CancellationRegistry& cancellations, const workers::HostTable& hosts,
                  const peers::PeerTable& peers, leadership::RoundSchedule& schedule);
 
+    // Decides on the sender of the heartbeat. Remembers redirects, to detect workers that cannot reach their leader.
     Admission admit(const wire::Heartbeat& heartbeat, Timestamp now);
-    // Asks the next round to register the host here.
+    // Requests that the next round registers the host under this controller.
     void request_acquisition(const wire::Heartbeat& heartbeat);
 
-    // Registers the hosts that were asked for, hosts that need a higher fencing token, and hosts of failed leaders that
-    // are assigned here. Whole shards go together, since each registration rewrites its shard.
+    // Registers the requested hosts, hosts that need a higher fencing token, and hosts of failed leaders that are
+    // assigned to this controller. The hosts of a shard are registered together, since each registration rewrites the
+    // shard.
     void acquire_hosts(state::TransactionBuilder& builder, Timestamp now);
-    // Transfers one shard to the controller it is assigned to, if that has returned. Without this a rolling restart
-    // would leave all hosts with whoever was restarted first.
+    // Transfers at most one shard to the controller that it is assigned to, if that has returned. Without this, a
+    // rolling restart would leave all hosts with the controller that was restarted first.
     void transfer_hosts(state::TransactionBuilder& builder, Timestamp now);
 
   private:
-    // The newest heartbeat of a worker that was redirected, and since when it has been.
+    // The newest heartbeat of a redirected worker, and the steady time of its first redirect within a lease.
     struct Redirect {
-        double sinceS = -1e9;
+        double sinceS = workers::kNeverS;
         std::uint64_t agentEpoch = 0, sequence = 0;
     };
     using ShardSet = std::set<state::HostShard*>;
 
     Admission admit_own(const wire::Heartbeat& heartbeat, const state::HostRecord& host) const;
-    Admission admit_of_peer(const wire::Heartbeat& heartbeat, const std::string& leader, Timestamp now);
-    // Registers the hosts that were asked for, with all unowned ones of their shards, which are added to `rewritten`.
-    // False if the transaction has no room left.
+    Admission admit_for_peer(const wire::Heartbeat& heartbeat, const std::string& leader, Timestamp now);
+    // Registers the requested hosts and the unowned hosts of their shards; adds the shards to `rewritten`. False if the
+    // transaction has no room for all of them.
     bool acquire_requested(state::TransactionBuilder& builder, ShardSet& rewritten, Timestamp now);
     bool acquire_unowned(state::TransactionBuilder& builder, const state::HostShard& shard);
+    // The following two return false if the transaction has no room left.
     bool renew_fencing_tokens(state::TransactionBuilder& builder);
     bool acquire_assigned(state::TransactionBuilder& builder, const ShardSet& rewritten);
     bool may_acquire_unowned(const state::HostRecord& host) const;
@@ -79,10 +82,11 @@
 
     std::map<std::string, wire::Heartbeat> acquisitionRequests_;  // by host
     std::unordered_map<std::string, Redirect> redirects_;         // by host
-    std::unordered_map<std::string, double> takenOverAtS_;        // hosts taken from a live leader: steady time
-    std::map<std::string, double> unreachedAtS_;                  // controllers that some worker could not reach
-    double lastAcquisitionS_ = -1e9, lastTransferS_ = -1e9;
-    std::uint64_t membersRevision_ = 0;  // of the members when hosts of failed leaders were last acquired
+    std::unordered_map<std::string, double> takenOverAtS_;        // by host taken from a live leader: steady time
+    std::map<std::string, double> unreachableAtS_;  // by member that a worker could not reach: steady time
+    double lastAcquisitionS_ = workers::kNeverS, lastTransferS_ = workers::kNeverS;
+    // Revision of the members at the last complete acquisition of hosts of failed leaders.
+    std::uint64_t acquiredMembersRevision_ = 0;
 };
 
 }  // namespace wellstair::failover
--- a/src/leadership/availability.cpp
+++ b/src/leadership/availability.cpp
@@ -5,44 +5,48 @@
 namespace wellstair::leadership {
 
 namespace {
-constexpr double kStoreSilentS = 1.5;  // "usually under 10 ms, occasionally a few hundred"
-constexpr double kIsolatedS = 1.0;     // without store and peers: then unhealthy
-constexpr double kReadsFailedS = 4.0;  // live, but no read of the state succeeds: then unhealthy
-// Timers fire late, standing is judged four times a second, and what is judged may be sent a moment later.
+// The state service usually answers within 10 ms and occasionally takes a few hundred.
+constexpr double kStoreSilentS = 1.5;
+// A controller without contact with the state service and its peers reports itself unhealthy after this time.
+constexpr double kIsolatedS = 1.0;
+// A serving controller reports itself unhealthy once its reads of the state have failed for this time.
+constexpr double kReadsFailedS = 4.0;
+// Allowance for late timers, for the 0.25 s between evaluations, and for sending after an evaluation.
 constexpr double kTimerDelayS = 1.0;
 }  // namespace
 
-double answer_window(const AvailabilityLimits& l) {
-    return l.cancelS / config::kClockDriftFactor - l.leaseS * config::kClockDriftFactor - kTimerDelayS;
+double answer_window(const AvailabilityLimits& limits) {
+    return limits.cancelS / config::kClockDriftFactor - limits.leaseS * config::kClockDriftFactor - kTimerDelayS;
 }
 
-state::Availability next_availability(state::Availability now, const AvailabilitySignals& h,
-                                      const AvailabilityLimits& l) {
-    // Before all else, whatever the service answers to other requests, whatever the peers say, from whichever state:
-    // renewals and commits can be served while reads fail or hang, and commands come from what was read.
-    if (h.cancellationsReadAgeS > answer_window(l))
+state::Availability next_availability(state::Availability now, const AvailabilitySignals& signals,
+                                      const AvailabilityLimits& limits) {
+    // Takes precedence over all other signals and applies in every state: commands are derived from reads, and the
+    // state service may serve renewals and commits while reads fail or hang.
+    if (signals.cancellationsReadAgeS > answer_window(limits))
         return now == state::Availability::joining ? now : state::Availability::isolated;
-    bool silent = h.storeContactAgeS > kStoreSilentS;
-    if (!silent && h.registered) return state::Availability::serving;
+    bool silent = signals.storeContactAgeS > kStoreSilentS;
+    if (!silent && signals.registered) return state::Availability::serving;
     if (now == state::Availability::joining) return state::Availability::joining;
     if (!silent) return now == state::Availability::serving ? state::Availability::disconnected : now;
-    // The state service answers others: it is us.
-    if (h.peerReachesStore) return state::Availability::isolated;
-    // It may be an outage that everybody has, or we may have lost the other controllers, too; that cannot be told
-    // apart. Our machines are answered for as long as the contact allows.
+    // The state service answers other controllers, so the fault is on this one's side.
+    if (signals.peerReachesStore) return state::Availability::isolated;
+    // Either the state service is down for all controllers, or this one has lost both the state service and its peers;
+    // the two cannot be told apart. Workers are answered until `answer_window` has passed.
     return state::Availability::disconnected;
 }
 
-bool healthy(state::Availability now, bool stateReady, const AvailabilitySignals& h, const AvailabilityLimits& l) {
+bool healthy(state::Availability now, bool stateReady, const AvailabilitySignals& signals,
+             const AvailabilityLimits& limits) {
     if (!stateReady) return false;
-    // Live by its lease, and yet no read of the state succeeds: it could answer no user.
-    if (now == state::Availability::serving) return h.readFailedS < kReadsFailedS;
+    // Its registration is renewed, but without reads every user request would fail.
+    if (now == state::Availability::serving) return signals.readFailedS < kReadsFailedS;
     if (now != state::Availability::disconnected) return false;
-    // In an outage that everybody has, staying in the balancer spares its slow return; answers are 503 meanwhile. One
-    // that hears neither the store nor any other controller is more likely cut off itself: users are better served
-    // elsewhere.
-    bool apart = h.hasPeers && !h.peerHeard;
-    return h.disconnectedS < (apart ? kIsolatedS : l.cancelS);
+    // During an outage of the state service for all controllers, requests get 503, but staying in the load balancer
+    // avoids its slow re-admission. A controller that hears neither the state service nor any peer is more likely cut
+    // off itself, and users are better served elsewhere.
+    bool cutOff = signals.hasPeers && !signals.peerHeard;
+    return signals.disconnectedS < (cutOff ? kIsolatedS : limits.cancelS);
 }
 
 }  // namespace wellstair::leadership
--- a/src/leadership/availability.hpp
+++ b/src/leadership/availability.hpp
@@ -1,33 +1,37 @@
-// A controller's own standing, from what it hears: whether it acts for the controllers, and whether users should come.
+// Derives a controller's availability, and its answer to health checks, from its contact with the state service and
+// with the other controllers.
 #pragma once
 
 #include "state/states.hpp"
 
 namespace wellstair::leadership {
 
+// What the controller observes. Durations are in seconds, up to now.
 struct AvailabilitySignals {
-    bool registered = false;           // our member key stands, as far as we have seen
-    double storeContactAgeS = 0;       // since the state service last answered us, whatever it was asked
-    double cancellationsReadAgeS = 0;  // since when a cancellation may have been confirmed that we do not know of
-    bool hasPeers = false;             // there are other controllers
-    bool peerHeard = false;            // one of them has spoken to us a moment ago
-    bool peerReachesStore = false;     // and says that the state service answers it
-    double disconnectedS = 0;          // for how long we have been disconnected
-    double readFailedS = 0;            // for how long no read of the state has succeeded although it was tried
+    bool registered = false;           // this process's member key exists, according to the cached state
+    double storeContactAgeS = 0;       // since the state service last answered a request of any kind
+    double cancellationsReadAgeS = 0;  // since the last moment up to which all confirmed cancellations are known
+    bool hasPeers = false;             // other controllers are configured
+    bool peerHeard = false;            // a status packet from one of them arrived recently
+    bool peerReachesStore = false;     // one of them reports contact with the state service
+    double disconnectedS = 0;          // spent in the state `disconnected`
+    double readFailedS = 0;            // for which every attempted read of the state has failed
 };
 
 struct AvailabilityLimits {
-    double cancelS = 0, leaseS = 0;
+    double cancelS = 0;  // within which a task must have ended after its cancellation was confirmed
+    double leaseS = 0;   // worker lease
 };
 
-// For so long after the last contact a controller may answer machines. A cancellation that it does not know of was
-// confirmed after that contact; a machine answered now may go on for one lease more, by its own clock, and the task
-// must then be gone within cancel_s of the confirmation. The lease counts from when the heartbeat was sent, so an
-// answer that is held on the way adds nothing.
+// Seconds after the last read of cancellations during which a controller may answer heartbeats. A cancellation that it
+// does not know of was confirmed after that read. A worker that is answered now may continue for one more lease by its
+// own clock, and its task must still end within `cancel_s` of the confirmation. The lease counts from the sending of
+// the heartbeat, so an answer that is delayed in transit does not extend it.
 double answer_window(const AvailabilityLimits& limits);
 
 state::Availability next_availability(state::Availability now, const AvailabilitySignals& signals,
                                       const AvailabilityLimits& limits);
+// Whether the load balancer should send users to this controller.
 bool healthy(state::Availability now, bool stateReady, const AvailabilitySignals& signals,
              const AvailabilityLimits& limits);
 
--- a/src/leadership/cancellation_read_barrier.hpp
+++ b/src/leadership/cancellation_read_barrier.hpp
@@ -1,5 +1,5 @@
-// What the other controllers have confirmed, asked by ourselves: with the answers of all of them, a controller knows
-// every cancellation up to the moment of its question without the state service. Time is passed in.
+// Read barrier over the other controllers: once all of them have acknowledged a request, this controller knows every
+// cancellation that was confirmed before it sent the request, without the state service. Time is passed in.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,27 @@
 
 class CancellationReadBarrier {
   public:
-    // `first`: no other process of this name has used the numbers from here on.
-    explicit CancellationReadBarrier(std::uint64_t first) : next_(first) {}
+    // `firstNumber`: neither it nor any higher number was used by an earlier process of this member name.
+    explicit CancellationReadBarrier(std::uint64_t firstNumber) : nextNumber_(firstNumber) {}
 
-    // The number of a question that is asked now.
+    // Returns the number of a request that is sent now.
     std::uint64_t next_request(double nowS);
-    // A member has answered the question of that number with all cancellations that it had confirmed by then. A packet
-    // that was held back answers an old question, and proves no more than that.
+    // The member has acknowledged the request of that number with all cancellations that it had confirmed by then. A
+    // packet that was delayed acknowledges an old request, and counts as of the time of that request.
     void acknowledge(const std::string& member, std::uint64_t incarnation, std::uint64_t requestNumber);
-    // Up to when all of these processes have told everything; never, if one has not answered, or another process of its
-    // name has: what the one before had confirmed died with it.
+    // Steady time up to which the cancellations confirmed by all of these processes are known. Minus infinity if
+    // `others` is empty, or if one of the processes has not acknowledged anything. An acknowledgement by an earlier
+    // process of the same name does not count: cancellations that only that process knew were lost with it.
     double acknowledged_until(const std::map<std::string, std::uint64_t>& others) const;
 
   private:
-    struct Answer {
+    struct Acknowledgement {
         std::uint64_t incarnation = 0;
         double requestedS = 0;
     };
-    std::uint64_t next_;
-    std::deque<std::pair<std::uint64_t, double>> requests_;
-    std::map<std::string, Answer> answers_;
+    std::uint64_t nextNumber_;
+    std::deque<std::pair<std::uint64_t, double>> requests_;    // number and steady time of the newest requests
+    std::map<std::string, Acknowledgement> acknowledgements_;  // by member
 };
 
 }  // namespace wellstair::leadership
--- a/src/leadership/cancellation_registry.cpp
+++ b/src/leadership/cancellation_registry.cpp
@@ -13,13 +13,14 @@
 
 namespace {
 
-// Of `cancel_s`, how long a silent host may keep a cancelled task before it is returned to the cloud. Longer than a
-// host that is well is ever silent; what is left is for the cloud role to change hands and for the call to be repeated.
-constexpr double kReturnAfter = 0.55;
-// Heartbeat intervals after an outage in which all hosts are given time to be heard again.
-constexpr double kQuietAfterOutage = 3;
-// Heartbeat intervals for which a host that was taken over may fail to confirm its new leader.
-constexpr double kUnconfirmedHeartbeats = 2;
+// Fraction of `cancel_s` for which a silent host may keep a cancelled task before it is returned to the cloud. It
+// exceeds the longest silence of a healthy host; the remainder allows for a change of the controller that holds the
+// cloud role and for a retry of the call.
+constexpr double kReturnAfterFraction = 0.55;
+// Heartbeat intervals after an outage during which no host counts as silent, so that all can report again.
+constexpr double kGraceHeartbeats = 3;
+// Heartbeat intervals that a host has to confirm a new leader after a takeover.
+constexpr double kConfirmationHeartbeats = 2;
 
 }  // namespace
 
@@ -66,23 +67,23 @@
     });
 }
 
-// A host that hangs does nothing and may resume with what it has; whether its worker counts the lease meanwhile is not
-// known.
+// A host that hangs may resume with the tasks that it had. Whether its worker's lease expires meanwhile is unknown, so
+// the lease proves nothing here.
 bool CancellationRegistry::holds_cancelled(const HostRecord& host, const HostTracker& tracker, Timestamp now) const {
     const config::Settings& settings = context_.settings();
-    if (now.steady - context_.serving_since() < kQuietAfterOutage * settings.heartbeatIntervalS) return false;
+    if (now.steady - context_.serving_since() < kGraceHeartbeats * settings.heartbeatIntervalS) return false;
     if (tracker.state == HostState::silent || tracker.state == HostState::expired)
-        // Cancelled after its last heartbeat, or it would have ended the task on the answer to that.
-        return tracker.lease.age(now.steady) > kReturnAfter * settings.cancelS &&
+        // The cancellation came after the last heartbeat: the answer to that would have ended the task otherwise.
+        return tracker.lease.age(now.steady) > kReturnAfterFraction * settings.cancelS &&
                std::any_of(tracker.tasks.begin(), tracker.tasks.end(), [&](const auto& entry) {
                    return entry.second.phase != wire::TaskPhase::ended && cancelled(entry.first.first);
                });
-    // Taken over from another leader and not heard here: what it holds is known by the state service alone.
+    // Taken over from another leader without a heartbeat since: only the stored state tells what the host runs.
     return tracker.state == HostState::led &&
-           now.steady - tracker.unconfirmedS > kUnconfirmedHeartbeats * settings.heartbeatIntervalS &&
+           now.steady - tracker.unconfirmedS > kConfirmationHeartbeats * settings.heartbeatIntervalS &&
            std::any_of(host.placed.begin(), host.placed.end(), [&](const TaskRef& ref) {
                return ref.job->state == JobState::cancelled &&
-                      now.wall - static_cast<double>(ref.job->cancelledAtS) > kReturnAfter * settings.cancelS;
+                      now.wall - static_cast<double>(ref.job->cancelledAtS) > kReturnAfterFraction * settings.cancelS;
            });
 }
 
--- a/src/leadership/cancellation_registry.hpp
+++ b/src/leadership/cancellation_registry.hpp
@@ -1,7 +1,7 @@
-// Cancellations that are known to be confirmed, and the hosts that may still hold a cancelled task.
+// Confirmed cancellations that this controller knows of, and the hosts that may still run a cancelled task.
 //
-// Owns the cancellations that the cached state does not show yet: those that this controller has confirmed itself, and
-// those that other controllers have told of. With the cached ones they are carried out in an outage of the state
+// Owns the confirmed cancellations that the cached state does not contain yet: those confirmed by this controller and
+// those reported by other controllers. Together with the cached ones they are enforced during an outage of the state
 // service, too. Single-threaded, free of I/O.
 #pragma once
 
@@ -22,25 +22,26 @@
 
     bool cancelled(const std::string& job) const;
     bool cancelled(const state::Job& job) const;
-    // All that are confirmed as far as this controller knows, for the other controllers.
+    // Ids of all jobs whose cancellation is confirmed as far as this controller knows; sent to the other controllers.
     std::vector<std::string> all() const;
-    // Confirmed here, or by another controller: their hosts get stop commands.
+    // Adds cancellations that this or another controller has confirmed, and schedules the jobs' hosts for stop
+    // commands.
     void record(const std::vector<std::string>& jobs);
-    // Drops what the cached state shows by now.
+    // Drops the cancellations that the cached state contains by now.
     void forget_cached();
 
-    // Whether a start of a cancelled task, sent without an answer, may still execute on the host. It can for as long as
-    // the worker's agent epoch lasts.
+    // Whether a start command of a cancelled task that got no reply may still execute on the host. It may until the
+    // worker's agent epoch ends.
     bool may_start_cancelled(const state::HostRecord& host) const;
-    // Whether the host has been silent for so long with a cancelled task that only its return to the cloud ends the
-    // task within `cancel_s`.
+    // Whether the host has been silent with a cancelled task for so long that only returning the host to the cloud ends
+    // the task within `cancel_s`.
     bool holds_cancelled(const state::HostRecord& host, const workers::HostTracker& tracker, Timestamp now) const;
 
   private:
     const ControllerContext& context_;
     const workers::HostTable& hosts_;
     RoundSchedule& schedule_;
-    std::set<std::string> uncached_;
+    std::set<std::string> uncached_;  // ids of jobs
 };
 
 }  // namespace wellstair::leadership
--- a/src/leadership/controller_context.cpp
+++ b/src/leadership/controller_context.cpp
@@ -40,10 +40,11 @@
 
 bool ControllerContext::responsible(const state::Job& job) const {
     if (state_->member_live(job.owner)) return job.owner == settings_.member;
-    const std::string* best = nullptr;
+    // Rendezvous hashing: the member with the highest hash for this job.
+    const std::string* chosen = nullptr;
     for (const auto& [name, record] : state_->members())
-        if (!best || stable_hash(name, job.id) > stable_hash(*best, job.id)) best = &name;
-    return best && *best == settings_.member;
+        if (!chosen || stable_hash(name, job.id) > stable_hash(*chosen, job.id)) chosen = &name;
+    return chosen && *chosen == settings_.member;
 }
 
 }  // namespace wellstair::leadership
--- a/src/leadership/controller_context.hpp
+++ b/src/leadership/controller_context.hpp
@@ -1,7 +1,7 @@
-// Who this controller process is and what it has read: the state that all decisions share.
+// Identity, availability and cached state of this controller process, shared by all of its decisions.
 //
-// Owns the cached state of the state service, the process's availability and the time of the event that is being
-// handled. Changed by Core alone; every component gets it by reference. Single-threaded, free of I/O.
+// Owns the cache of the state service, the process's availability and the time of the event that is being handled.
+// Changed by Core only; every component gets it by reference. Single-threaded, free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +12,7 @@
 #include "config/settings.hpp"
 #include "state/state_cache.hpp"
 #include "state/states.hpp"
+#include "workers/host_tracker.hpp"
 
 namespace wellstair::leadership {
 
@@ -26,7 +27,7 @@
 
     state::StateCache& state() { return *state_; }
     const state::StateCache& state() const { return *state_; }
-    // Begins with an empty cache, for keys of this layout. Its callbacks are not set, and it is not ready.
+    // Replaces the cache by an empty one for keys of this layout. Its callbacks are not set, and it is not ready.
     void reset_state(const state::LayoutRecord& layout);
     // Whether the cache has caught up with the state service since it was reset.
     bool state_ready() const { return stateReady_; }
@@ -34,22 +35,24 @@
 
     state::Availability availability() const { return availability_; }
     bool serving() const { return availability_ == state::Availability::serving; }
-    // Steady time in seconds since when this process has been serving; far in the past before it has.
+    // Steady time at which this process last began to serve, in seconds; workers::kNeverS before it has.
     double serving_since() const { return servingSinceS_; }
     void set_availability(state::Availability next, Timestamp now);
 
-    // The revision of this process's own member record, on which all of its transactions depend. 0: not registered.
+    // Revision of this process's own member record, which all of its transactions compare. 0: not registered.
     std::uint64_t member_revision() const;
 
-    // Whether this very process is the leader of the host, by the cached state.
+    // Whether this process is the leader of the host, by the cached state. An earlier process of the same member name
+    // does not count.
     bool leads_host(const state::HostRecord* host) const;
-    // Whether the process that leads the host has ended.
+    // Whether the host is registered under a process that is no longer a member.
     bool unowned(const state::HostRecord& host) const;
-    // Whether this controller is the one to end the job, stop its gang and place what any controller may place. That
-    // is the job's owner while it lives; then the live controllers agree on one by a hash.
+    // Whether this controller finishes the job, stops its gang, and places those of its tasks that any controller may
+    // place. The job's owner does so while it is a live member; otherwise a live member that is chosen by a hash, so
+    // that all of them agree on it.
     bool responsible(const state::Job& job) const;
 
-    // The event that is being handled: callbacks of the cache have no other clock.
+    // Time of the event that is being handled. Callbacks of the cache take their time from here.
     Timestamp now() const { return now_; }
     void set_now(Timestamp now) { now_ = now; }
 
@@ -59,7 +62,7 @@
     std::unique_ptr<state::StateCache> state_;
     bool stateReady_ = false;
     state::StateMachine<state::Availability, state::AvailabilityTraits> availability_{state::Availability::joining};
-    double servingSinceS_ = -1e9;
+    double servingSinceS_ = workers::kNeverS;
     Timestamp now_;
 };
 
--- a/src/leadership/round_schedule.hpp
+++ b/src/leadership/round_schedule.hpp
@@ -1,6 +1,6 @@
-// What the next round has to look at: hosts with something to do, and whether placement has to be planned anew.
+// Work for the next scheduling round: the hosts to process, and whether placement has to be planned again.
 //
-// Any component may ask for more; the round itself takes off what is done. Single-threaded, free of I/O.
+// Any component may add work; the round removes what it has done. Single-threaded, free of I/O.
 #pragma once
 
 #include <set>
@@ -14,21 +14,21 @@
   public:
     bool round_due() const { return roundDue_; }
     void request_round() { roundDue_ = true; }
-    // A round begins: whatever asks for another one from here on is heard.
+    // To be called at the start of a round: a request that is made during the round leads to another one.
     void begin_round() { roundDue_ = false; }
 
-    // Something that placement depends on has changed.
+    // Whether an input of placement has changed since the last plan.
     bool plan_due() const { return planDue_; }
     void request_plan() { planDue_ = true; }
     void begin_plan() { planDue_ = false; }
-    // A transaction was not applied: everything is proposed again.
+    // To be called when a transaction was not applied: the next round proposes all changes again.
     void request_replan() { roundDue_ = planDue_ = true; }
 
-    // Hosts, by name, that may have commands to get or tasks to release. A round looks at these alone.
+    // Names of the hosts that may need commands or have tasks to release. A round processes only these.
     std::set<std::string>& due_hosts() { return dueHosts_; }
     void mark_due(const std::string& host) { dueHosts_.insert(host); }
     void mark_due(const state::HostRecord& host) { dueHosts_.insert(host.name); }
-    // Marks all hosts that tasks of the job are placed on, and asks for a round.
+    // Marks all hosts on which tasks of the job are placed, and requests a round.
     void mark_job_due(const state::Job& job);
 
   private:
--- a/src/leadership/shard_assignment.cpp
+++ b/src/leadership/shard_assignment.cpp
@@ -20,16 +20,17 @@
 
     auto& candidates = sameZone.empty() ? all : sameZone;
     std::sort(candidates.begin(), candidates.end(), [](auto* a, auto* b) { return *a < *b; });
-    const std::string& regular = *candidates[shard.number % candidates.size()];
-    if (context_.state().member_live(regular)) return regular;
+    const std::string& primary = *candidates[shard.number % candidates.size()];
+    if (context_.state().member_live(primary)) return primary;
 
+    // Rendezvous hashing over the live members, those of the shard's zone first.
     for (auto* group : {&sameZone, &all}) {
-        const std::string* best = nullptr;
+        const std::string* chosen = nullptr;
         for (const std::string* name : *group) {
             if (!context_.state().member_live(*name)) continue;
-            if (!best || stable_hash(*name, shard.key) > stable_hash(*best, shard.key)) best = name;
+            if (!chosen || stable_hash(*name, shard.key) > stable_hash(*chosen, shard.key)) chosen = name;
         }
-        if (best) return *best;
+        if (chosen) return *chosen;
     }
     return kNone;
 }
--- a/src/leadership/state_limit_policy.cpp
+++ b/src/leadership/state_limit_policy.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-// How often a controller splits a shard in a heartbeat interval: other work goes on between.
+// Shards that a controller may split in one heartbeat interval; the pauses leave time for other work.
 constexpr double kSplitsPerHeartbeat = 16;
-// Bytes of an entry of a shard or chunk. Stored keys were divided by it: a change would change every key.
+// Bytes of an entry of a shard or chunk. It determines how stored keys are divided: changing it would change every key.
 constexpr double kEntryBytes = 80;
-// Leases for which a key is left alone after the state service has refused its value.
+// Leases for which a key is not written after the state service has refused its value.
 constexpr double kRejectedKeyLeases = 1;
 
 }  // namespace
 
-// A chunk of tasks stays well below a value's limit: controllers that place tasks of one job at the same time write
-// different chunks, and each change rewrites less. Announced limits do not matter here: all versions and all processes
-// must agree on every key.
+// A chunk of tasks is kept well below the limit of a value: controllers that place tasks of one job concurrently write
+// different chunks, and each change rewrites less. Announced limits are not used here, because all versions and all
+// processes must derive the same keys.
 state::LayoutRecord StateLimitPolicy::own_layout() const {
     auto width = static_cast<std::uint32_t>(std::max(1.0, context_.settings().valueKb * 1024 / kEntryBytes));
     return {state::kLayoutWithSplitShards, std::max(1u, width / 4), width};
@@ -33,12 +33,12 @@
     return context_.state().layout().version >= state::kLayoutWithSplitShards;
 }
 
-// Shards are split once the layout switch is durable; or when the state service has shown that its limits have fallen,
-// which the operators announce for after the upgrade. The version in production reads split shards, and a split
-// compares and changes the very key that its own changes compare: one that came back would do no harm
-// (docs/upgrade.md).
+// Shards are split once the layout switch is durable, or once a refused transaction shows that the state service's
+// limits were lowered, which operators announce for after the upgrade. A controller of the production version that
+// returns after that does no harm: it reads split shards, and a split compares and changes the same key that the
+// changes of that version compare (docs/upgrade.md).
 bool StateLimitPolicy::splitting_allowed() const {
-    return context_.settings().nextState && (layout_switched() || limitsFell_);
+    return context_.settings().nextState && (layout_switched() || announcedLimitsInEffect_);
 }
 
 config::StateLimits StateLimitPolicy::limits() const {
@@ -47,22 +47,22 @@
 
 state::WriteRules StateLimitPolicy::write_rules() const {
     state::WriteRules rules{limits(), splitting_allowed(), {}};
-    for (const auto& [key, until] : rejectedKeysUntil_) rules.rejectedKeys.insert(key);
+    for (const auto& [key, until] : rejectedKeysUntilS_) rules.rejectedKeys.insert(key);
     return rules;
 }
 
 void StateLimitPolicy::handle_rejected_transaction(const std::vector<std::string>& keys, Timestamp now) {
     if (context_.settings().nextState && !splitting_allowed()) {
-        limitsFell_ = true;  // the same changes may fit by the lower limits
-        spdlog::info("the state service's limits have fallen: the announced ones hold from now on");
+        announcedLimitsInEffect_ = true;  // the same changes may fit within the lower limits
+        spdlog::info("state service refused a transaction within its current limits; applying the announced limits");
         return;
     }
     for (const std::string& key : keys)
-        rejectedKeysUntil_[key] = now.steady + kRejectedKeyLeases * context_.settings().leaseS;
+        rejectedKeysUntilS_[key] = now.steady + kRejectedKeyLeases * context_.settings().leaseS;
 }
 
 void StateLimitPolicy::expire_rejections(Timestamp now) {
-    std::erase_if(rejectedKeysUntil_, [&](const auto& entry) { return entry.second < now.steady; });
+    std::erase_if(rejectedKeysUntilS_, [&](const auto& entry) { return entry.second < now.steady; });
 }
 
 bool StateLimitPolicy::can_write_split_shards(const std::string& member) const {
@@ -84,7 +84,7 @@
     const double splitIntervalS = context_.settings().heartbeatIntervalS / kSplitsPerHeartbeat;
     if (!splitting_allowed() || now.steady - lastSplitS_ < splitIntervalS) return;
     for (const auto& [key, shard] : context_.state().shards()) {
-        if (shard->size.bytes() <= limits().value_bytes() || rejectedKeysUntil_.count(key)) continue;
+        if (shard->size.bytes() <= limits().value_bytes() || rejectedKeysUntilS_.count(key)) continue;
         if (!assignment_.assigned_to_self(*shard)) continue;
         lastSplitS_ = now.steady;
         builder.split(*shard);
--- a/src/leadership/state_limit_policy.hpp
+++ b/src/leadership/state_limit_policy.hpp
@@ -1,7 +1,7 @@
-// What this process may write to the state service: the layout of the keys, the switch to a newer layout, and the
-// limits that hold now or were announced in the settings (docs/upgrade.md).
+// Rules for what this process writes to the state service: the layout of the keys, the switch to a newer layout, and
+// the current or announced limits of the state service from the settings (docs/upgrade.md).
 //
-// Owns what refusals of the state service have shown. Single-threaded, free of I/O.
+// Owns the conclusions from transactions that the state service has refused. Single-threaded, free of I/O.
 #pragma once
 
 #include <map>
@@ -20,23 +20,25 @@
     StateLimitPolicy(ControllerContext& context, const ShardAssignment& assignment, RoundSchedule& schedule)
         : context_(context), assignment_(assignment), schedule_(schedule) {}
 
-    // The layout of the stored keys that this process's settings lead to.
+    // The layout of the stored keys that follows from this process's settings.
     state::LayoutRecord own_layout() const;
-    // What a registration under this process's lease says.
+    // The value of this process's member key.
     state::MemberData member_data() const;
 
-    // What transactions keep to: the present limits of the state service, or the lower of these and the announced ones.
+    // Limits that transactions must respect: the current ones of the state service, or the lower of the current and the
+    // announced ones once shards may be split.
     config::StateLimits limits() const;
     state::WriteRules write_rules() const;
 
-    // The state service refused a transaction that wrote these keys as malformed. The announced limits may hold
-    // already; otherwise the keys are left alone for a lease, so that nothing else waits for them.
+    // The state service refused a transaction that wrote these keys as malformed. The announced limits may be in effect
+    // already. Otherwise the keys are not written for one lease, so that they do not block other changes.
     void handle_rejected_transaction(const std::vector<std::string>& keys, Timestamp now);
     void expire_rejections(Timestamp now);
 
-    // Proposes the layout switch once every member can write the newer layout. Returns whether it was proposed.
+    // Proposes the switch to the newer layout once every configured member can write it. Returns whether it was
+    // proposed.
     bool propose_layout_switch(state::TransactionBuilder& builder) const;
-    // Splits one shard that is larger than the announced limit allows, before anything has to be changed in it.
+    // Splits at most one shard that exceeds the announced limit, before a change to it is needed.
     void split_shards(state::TransactionBuilder& builder, Timestamp now);
 
   private:
@@ -47,9 +49,10 @@
     ControllerContext& context_;
     const ShardAssignment& assignment_;
     RoundSchedule& schedule_;
-    bool limitsFell_ = false;                          // the state service has refused what the present limits allow
-    std::map<std::string, double> rejectedKeysUntil_;  // by key: steady time
-    double lastSplitS_ = -1e9;
+    // The state service has refused a transaction that its current limits allow.
+    bool announcedLimitsInEffect_ = false;
+    std::map<std::string, double> rejectedKeysUntilS_;  // by key: steady time
+    double lastSplitS_ = workers::kNeverS;
 };
 
 }  // namespace wellstair::leadership
--- a/src/peers/packet.cpp
+++ b/src/peers/packet.cpp
@@ -5,14 +5,15 @@
 namespace wellstair::peers {
 namespace {
 
-// Bounds what a packet can ask to be read: far above the number of machines that a controller has sockets for.
+// Bounds on the memory that a received header can claim, far above the number of machines that a controller has sockets
+// for.
 constexpr std::size_t kMaxHosts = 65536;
 constexpr std::size_t kMaxCancelled = 65536;
 
 constexpr double kMsPerS = 1000;
-constexpr double kMaxStoreAgeMs = 4e9;  // of what the 32 bits of the field hold
+constexpr double kMaxStoreContactAgeMs = 4e9;  // fits the 32 bits of the field
 
-// Cut off where the field ends; the last byte stays zero.
+// Truncates the text to the field; the last byte stays zero.
 template <std::size_t N>
 void put_text(char (&field)[N], const std::string& text) {
     std::memcpy(field, text.data(), std::min(N - 1, text.size()));
@@ -28,7 +29,7 @@
     bytes.append(reinterpret_cast<const char*>(&entry), sizeof entry);
 }
 
-// Takes the struct from the front of the bytes, which must be long enough.
+// Removes a struct from the front of the bytes, which must be long enough, and returns it.
 template <class Struct>
 Struct take(std::string_view& bytes) {
     Struct entry;
@@ -42,11 +43,11 @@
     header.unusableCount = static_cast<std::uint32_t>(std::min(status.unusable.size(), kMaxHosts));
     header.incarnation = status.incarnation;
     header.storeContactAgeMs =
-        static_cast<std::uint32_t>(std::clamp(status.storeContactAgeS * kMsPerS, 0.0, kMaxStoreAgeMs));
+        static_cast<std::uint32_t>(std::clamp(status.storeContactAgeS * kMsPerS, 0.0, kMaxStoreContactAgeMs));
     header.serving = status.serving;
     header.cancelledCount = static_cast<std::uint32_t>(std::min(status.cancelled.size(), kMaxCancelled));
     header.requestNumber = status.requestNumber;
-    // A list that was cut short acknowledges nothing.
+    // With a truncated list of cancellations the packet must not acknowledge the receiver's request.
     const bool complete = header.cancelledCount == status.cancelled.size();
     header.acknowledged = complete ? status.acknowledged : 0;
     put_text(header.member, status.member);
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -19,22 +19,27 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+// Between status packets, and before a failed connect or accept is repeated.
 constexpr double kIntervalS = 0.5;
 constexpr auto kSendTimeout = std::chrono::milliseconds(1500);
 constexpr auto kReceiveTimeout = std::chrono::seconds(10);
 constexpr int kBacklog = 32;
-// Of each other controller: processes that have ended may leave connections behind.
-constexpr std::size_t kConnectionsPerMember = 8, kFurtherConnections = 8;
+// Limits on incoming connections. A member may have several: processes that have ended leave connections behind.
+constexpr std::size_t kConnectionsPerMember = 8, kExtraConnections = 8;
 
 }  // namespace
 
-PeerNetwork::PeerNetwork(asio::io_context& io, const config::Settings& settings, StatusProvider ownStatus,
-                         StatusHandler onStatus)
-    : io_(io), settings_(settings), acceptor_(io), ownStatus_(std::move(ownStatus)), onStatus_(std::move(onStatus)) {
-    tcp::endpoint at(asio::ip::make_address_v4(settings.internal.host), settings.internal.port);
-    acceptor_.open(at.protocol());
+PeerNetwork::PeerNetwork(asio::io_context& io, const config::Settings& settings, StatusProvider provideStatus,
+                         StatusHandler handleStatus)
+    : io_(io),
+      settings_(settings),
+      acceptor_(io),
+      provideStatus_(std::move(provideStatus)),
+      handleStatus_(std::move(handleStatus)) {
+    tcp::endpoint endpoint(asio::ip::make_address_v4(settings.internal.host), settings.internal.port);
+    acceptor_.open(endpoint.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    acceptor_.bind(at);
+    acceptor_.bind(endpoint);
     acceptor_.listen(kBacklog);
 }
 
@@ -43,8 +48,8 @@
     for (const auto& member : settings_.members) asio::co_spawn(io_, send_to(member.name, member.peer), asio::detached);
 }
 
-std::size_t PeerNetwork::most_connections() const {
-    return kConnectionsPerMember * settings_.members.size() + kFurtherConnections;
+std::size_t PeerNetwork::max_connections() const {
+    return kConnectionsPerMember * settings_.members.size() + kExtraConnections;
 }
 
 asio::awaitable<void> PeerNetwork::accept() {
@@ -52,13 +57,13 @@
         auto [error, socket] = co_await acceptor_.async_accept(kAwait);
         if (error)
             co_await net::sleep_for(io_, kIntervalS);
-        else if (open_ < most_connections())
+        else if (openConnections_ < max_connections())
             asio::co_spawn(io_, receive(std::move(socket)), asio::detached);
     }
 }
 
 asio::awaitable<void> PeerNetwork::receive(tcp::socket socket) {
-    ++open_;
+    ++openConnections_;
     boost::beast::tcp_stream stream(std::move(socket));
     for (;;) {
         std::string bytes(sizeof(PacketHeader), '\0');
@@ -71,19 +76,19 @@
         auto rest = asio::buffer(bytes.data() + sizeof(PacketHeader), *size - sizeof(PacketHeader));
         auto [restError, restBytes] = co_await asio::async_read(stream, rest, kAwait);
         if (restError) break;
-        if (auto status = unpack(bytes)) onStatus_(*status);
+        if (auto status = unpack(bytes)) handleStatus_(*status);
     }
-    --open_;
+    --openConnections_;
 }
 
 asio::awaitable<void> PeerNetwork::send_to(std::string member, config::Endpoint endpoint) {
     for (;;) {
         boost::beast::tcp_stream stream(io_);
         stream.expires_after(kSendTimeout);
-        tcp::endpoint to(asio::ip::make_address_v4(endpoint.host), endpoint.port);
-        auto [connectError] = co_await stream.async_connect(to, kAwait);
+        tcp::endpoint peer(asio::ip::make_address_v4(endpoint.host), endpoint.port);
+        auto [connectError] = co_await stream.async_connect(peer, kAwait);
         while (!connectError) {
-            std::string bytes = pack(ownStatus_(member));
+            std::string bytes = pack(provideStatus_(member));
             stream.expires_after(kSendTimeout);
             auto [writeError, bytesWritten] = co_await asio::async_write(stream, asio::buffer(bytes), kAwait);
             if (writeError) break;
--- a/src/peers/peer_table.cpp
+++ b/src/peers/peer_table.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Statuses are sent twice a second.
+// Statuses are sent every 0.5 s.
 constexpr double kHeardWithinS = 1.5;
-constexpr double kStateServiceWithinS = 0.75;
+constexpr double kStoreContactWithinS = 0.75;
 
 }  // namespace
 
@@ -23,11 +23,12 @@
 }
 
 bool PeerTable::any_reaches_store(Timestamp now) const {
-    // Counted up to now, not up to when it was said: when an outage begins, the others' last statuses still tell of a
-    // state service that answers, and to become isolated for that would leave every host without a leader.
+    // The age includes the time since the status was received. When an outage begins, the last statuses of the others
+    // still report contact with the state service; becoming isolated on that account would leave every host without a
+    // leader.
     return std::any_of(statuses_.begin(), statuses_.end(), [&](const auto& entry) {
         const ReceivedStatus& received = entry.second;
-        return received.status.serving && received.status.storeContactAgeS + received.age(now) < kStateServiceWithinS;
+        return received.status.serving && received.status.storeContactAgeS + received.age(now) < kStoreContactWithinS;
     });
 }
 
--- a/src/peers/peer_table.hpp
+++ b/src/peers/peer_table.hpp
@@ -1,4 +1,4 @@
-// The newest status of each other controller, as received. Advice only: safety never depends on it.
+// The newest status received from each other controller. A hint only: safety never depends on it.
 //
 // Owns the statuses. Single-threaded, free of I/O.
 #pragma once
@@ -11,21 +11,26 @@
 
 namespace wellstair::peers {
 
+// A steady time in seconds that lies before every event.
+inline constexpr double kNeverReceivedS = -1e9;
+
 struct ReceivedStatus {
     PeerStatus status;
-    double receivedAtS = -1e9;  // steady time
+    double receivedAtS = kNeverReceivedS;  // steady time
 
+    // In seconds.
     double age(Timestamp now) const { return now.steady - receivedAtS; }
 };
 
 class PeerTable {
   public:
+    // Replaces the sender's previous status.
     void receive(const PeerStatus& status, Timestamp now) { statuses_[status.member] = {status, now.steady}; }
-    // Nothing if no status of this member has ever been received.
+    // Null if no status of this member has ever been received.
     const ReceivedStatus* find(const std::string& member) const;
-    // Whether some other controller has been heard a moment ago.
+    // Whether a status of any other controller arrived recently.
     bool any_heard(Timestamp now) const;
-    // Whether the state service answers some other controller.
+    // Whether any other controller is serving and in contact with the state service.
     bool any_reaches_store(Timestamp now) const;
 
   private:
--- a/tests/availability_test.cpp
+++ b/tests/availability_test.cpp
@@ -1,5 +1,5 @@
-// The availability of a controller and its answer to health checks, by what it hears of the state service and its
-// peers.
+// A controller's availability and its answer to health checks, derived from its contact with the state service and with
+// its peers.
 #include "leadership/availability.hpp"
 
 #include <gtest/gtest.h>
@@ -11,47 +11,49 @@
 
 constexpr AvailabilityLimits kLimits{45, 20};
 
-AvailabilitySignals signals(double storeContactAgeS, bool peerHeard, bool peerReachesStore) {
-    AvailabilitySignals heard;
-    heard.registered = heard.hasPeers = true;
-    heard.storeContactAgeS = heard.cancellationsReadAgeS = storeContactAgeS, heard.peerHeard = peerHeard,
-    heard.peerReachesStore = peerReachesStore;
-    return heard;
+AvailabilitySignals make_signals(double storeContactAgeS, bool peerHeard, bool peerReachesStore) {
+    AvailabilitySignals signals;
+    signals.registered = signals.hasPeers = true;
+    signals.storeContactAgeS = signals.cancellationsReadAgeS = storeContactAgeS, signals.peerHeard = peerHeard,
+    signals.peerReachesStore = peerReachesStore;
+    return signals;
 }
 
-TEST(Availability, AnOutageThatEverybodyHasIsSatOut) {
-    AvailabilitySignals heard = signals(5, true, false);
-    EXPECT_EQ(next_availability(Availability::serving, heard, kLimits), Availability::disconnected);
-    heard.disconnectedS = 20;
-    EXPECT_TRUE(healthy(Availability::disconnected, true, heard, kLimits));
+TEST(Availability, OutageOfAllControllersKeepsItHealthy) {
+    AvailabilitySignals signals = make_signals(5, true, false);
+    EXPECT_EQ(next_availability(Availability::serving, signals, kLimits), Availability::disconnected);
+    signals.disconnectedS = 20;
+    EXPECT_TRUE(healthy(Availability::disconnected, true, signals, kLimits));
 }
 
-TEST(Availability, OneThatAloneIsRefusedLetsGo) {
-    EXPECT_EQ(next_availability(Availability::serving, signals(2, true, true), kLimits), Availability::isolated);
-    EXPECT_FALSE(healthy(Availability::isolated, true, signals(2, true, true), kLimits));
+TEST(Availability, IsolatedWhenOnlyThisControllerLosesTheStateService) {
+    EXPECT_EQ(next_availability(Availability::serving, make_signals(2, true, true), kLimits), Availability::isolated);
+    EXPECT_FALSE(healthy(Availability::isolated, true, make_signals(2, true, true), kLimits));
 }
 
-// Without store and peers it cannot tell an outage from a cut: it goes on answering its machines, but users are sent
-// elsewhere soon, and it lets go while a cancellation told elsewhere can still end in time.
-TEST(Availability, WithoutStoreAndPeersUsersAreSentElsewhereSoonAndItLetsGoInTime) {
-    AvailabilitySignals heard = signals(3, false, false);
-    EXPECT_EQ(next_availability(Availability::serving, heard, kLimits), Availability::disconnected);
-    heard.disconnectedS = 1.5;
-    EXPECT_FALSE(healthy(Availability::disconnected, true, heard, kLimits));
-    EXPECT_EQ(next_availability(Availability::disconnected, signals(23.5, false, false), kLimits),
+// Without the state service and peers, an outage and a network partition look the same. The controller keeps answering
+// its workers, but soon reports itself unhealthy, and it becomes isolated while a cancellation confirmed elsewhere can
+// still take effect in time.
+TEST(Availability, WithoutStoreAndPeersItIsUnhealthySoonAndIsolatedInTime) {
+    AvailabilitySignals signals = make_signals(3, false, false);
+    EXPECT_EQ(next_availability(Availability::serving, signals, kLimits), Availability::disconnected);
+    signals.disconnectedS = 1.5;
+    EXPECT_FALSE(healthy(Availability::disconnected, true, signals, kLimits));
+    EXPECT_EQ(next_availability(Availability::disconnected, make_signals(23.5, false, false), kLimits),
               Availability::disconnected);
-    // Its machines' leases of 20 s, and their drift, then end before cancel_s is over.
-    EXPECT_EQ(next_availability(Availability::disconnected, signals(24, false, false), kLimits),
+    // The workers' leases of 20 s, with clock drift, then end before cancel_s has passed.
+    EXPECT_EQ(next_availability(Availability::disconnected, make_signals(24, false, false), kLimits),
               Availability::isolated);
-    // The same when a real outage begins meanwhile: what counts is the last contact.
-    EXPECT_EQ(next_availability(Availability::disconnected, signals(24, true, false), kLimits), Availability::isolated);
-    EXPECT_EQ(next_availability(Availability::isolated, signals(0.1, true, true), kLimits), Availability::serving);
+    // The same if an outage of all controllers begins meanwhile: the last contact counts.
+    EXPECT_EQ(next_availability(Availability::disconnected, make_signals(24, true, false), kLimits),
+              Availability::isolated);
+    EXPECT_EQ(next_availability(Availability::isolated, make_signals(0.1, true, true), kLimits), Availability::serving);
 }
 
-// Whatever else it hears, and whatever it was before: once its last read of the state is too old for a cancellation
-// that it cannot know of to end in time, it answers no machine.
-TEST(Availability, TheContactBoundsEveryStanding) {
-    // cancel_s 45, lease 20, drift and a second for what is late.
+// Whatever the other signals and the previous state: a controller answers no worker once its last read of cancellations
+// is too old for an unknown cancellation to take effect within cancel_s.
+TEST(Availability, AgeOfCancellationReadOverridesAllOtherSignals) {
+    // cancel_s 45, lease 20, clock drift, and 1 s for late timers.
     EXPECT_NEAR(answer_window(kLimits), 23.870, 0.001);
     struct Row {
         Availability before;
@@ -62,42 +64,42 @@
     };
     using enum Availability;
     const Row rows[] = {
-        {serving, true, 0.1, true, serving, isolated},  // renewals are served, reads are not
+        {serving, true, 0.1, true, serving, isolated},  // renewals succeed, reads fail
         {serving, true, 0.1, false, serving, isolated},
         {serving, false, 0.1, true, disconnected, isolated},  // the member key is gone, too
         {serving, true, 5, false, disconnected, isolated},
         {disconnected, true, 5, false, disconnected, isolated},
         {disconnected, false, 5, false, disconnected, isolated},
-        {isolated, true, 5, false, disconnected, isolated},  // refused alone, then an outage that everybody has
+        {isolated, true, 5, false, disconnected, isolated},  // first cut off alone, then an outage of all controllers
         {isolated, false, 0.1, false, isolated, isolated},
         {isolated, true, 5, true, isolated, isolated},
-        {joining, true, 5, false, joining, joining},  // answers nobody either
+        {joining, true, 5, false, joining, joining},  // does not answer workers either
     };
     for (const Row& row : rows) {
-        AvailabilitySignals heard = signals(row.storeContactAgeS, true, row.peerReachesStore);
-        heard.registered = row.registered;
-        heard.cancellationsReadAgeS = answer_window(kLimits) - 0.01;
-        EXPECT_EQ(next_availability(row.before, heard, kLimits), row.inside) << &row - rows;
-        heard.cancellationsReadAgeS = answer_window(kLimits) + 0.01;
-        EXPECT_EQ(next_availability(row.before, heard, kLimits), row.outside) << &row - rows;
+        AvailabilitySignals signals = make_signals(row.storeContactAgeS, true, row.peerReachesStore);
+        signals.registered = row.registered;
+        signals.cancellationsReadAgeS = answer_window(kLimits) - 0.01;
+        EXPECT_EQ(next_availability(row.before, signals, kLimits), row.inside) << &row - rows;
+        signals.cancellationsReadAgeS = answer_window(kLimits) + 0.01;
+        EXPECT_EQ(next_availability(row.before, signals, kLimits), row.outside) << &row - rows;
     }
 }
 
-// A controller by itself cannot be apart from others.
-TEST(Availability, TheOnlyControllerStaysHealthyInAnOutage) {
-    AvailabilitySignals heard = signals(5, false, false);
-    heard.hasPeers = false, heard.disconnectedS = 10;
-    EXPECT_TRUE(healthy(Availability::disconnected, true, heard, kLimits));
+// Without configured peers, silence of peers is no sign of a partition.
+TEST(Availability, OnlyControllerStaysHealthyInAnOutage) {
+    AvailabilitySignals signals = make_signals(5, false, false);
+    signals.hasPeers = false, signals.disconnectedS = 10;
+    EXPECT_TRUE(healthy(Availability::disconnected, true, signals, kLimits));
 }
 
-// Its lease is renewed, but no read succeeds: every question would fail, and a job that nobody answers for is
-// forgotten.
-TEST(Availability, OneThatCanAnswerNothingDoesNotStayHealthy) {
-    AvailabilitySignals heard = signals(0.1, true, true);
-    EXPECT_TRUE(healthy(Availability::serving, true, heard, kLimits));
-    heard.readFailedS = 5;
-    EXPECT_FALSE(healthy(Availability::serving, true, heard, kLimits));
-    EXPECT_FALSE(healthy(Availability::serving, false, signals(0.1, true, true), kLimits));
+// The member lease is renewed, but reads of the state fail: every user request would fail, and a job that no controller
+// answers for is given up.
+TEST(Availability, UnhealthyWhenReadsFail) {
+    AvailabilitySignals signals = make_signals(0.1, true, true);
+    EXPECT_TRUE(healthy(Availability::serving, true, signals, kLimits));
+    signals.readFailedS = 5;
+    EXPECT_FALSE(healthy(Availability::serving, true, signals, kLimits));
+    EXPECT_FALSE(healthy(Availability::serving, false, make_signals(0.1, true, true), kLimits));
 }
 
 }  // namespace
