--- a/src/autoscaling/scale_in_policy.cpp
+++ b/src/autoscaling/scale_in_policy.cpp
@@ -67,7 +67,7 @@
     Silence silence;
     for (const auto& [name, tracker] : hosts_.all()) {
         const HostRecord* host = context_.state().host(name);
-        if (!context_.led_here(host) || host->returning()) continue;
+        if (!context_.leads_host(host) || host->returning()) continue;
         const bool silent = hosts_.silent(tracker, now);
         for (SilentCount* count : {&silence.byZone[host->zone], &silence.total}) {
             count->silent += silent;
@@ -158,7 +158,7 @@
     const Silence silence = count_silent(now);
     for (const auto& [name, tracker] : hosts_.all()) {
         const HostRecord* host = context_.state().host(name);
-        if (!context_.led_here(host) || host->returning()) continue;
+        if (!context_.leads_host(host) || host->returning()) continue;
         const Verdict verdict = evaluate_led_host(*host, tracker, silence, now);
         if (verdict.reason == Reason::none) continue;
         const auto atS = verdict.allowCheckpoint ? markedAtS : markedOneLeaseAgoS;
--- a/src/leadership/controller_context.cpp
+++ b/src/leadership/controller_context.cpp
@@ -29,7 +29,7 @@
     return it != state_->members().end() && it->second.incarnation == incarnation_ ? it->second.revision : 0;
 }
 
-bool ControllerContext::led_here(const state::HostRecord* host) const {
+bool ControllerContext::leads_host(const state::HostRecord* host) const {
     return host && host->registered() && host->leader == settings_.member && host->incarnation == incarnation_;
 }
 
@@ -40,10 +40,11 @@
 
 bool ControllerContext::responsible(const state::Job& job) const {
     if (state_->member_live(job.owner)) return job.owner == settings_.member;
-    const std::string* best = nullptr;
+    // Rendezvous hashing: the member with the highest hash for this job.
+    const std::string* chosen = nullptr;
     for (const auto& [name, record] : state_->members())
-        if (!best || stable_hash(name, job.id) > stable_hash(*best, job.id)) best = &name;
-    return best && *best == settings_.member;
+        if (!chosen || stable_hash(name, job.id) > stable_hash(*chosen, job.id)) chosen = &name;
+    return chosen && *chosen == settings_.member;
 }
 
 }  // namespace wellstair::leadership
