--- a/src/autoscaling/scale_in_policy.cpp
+++ b/src/autoscaling/scale_in_policy.cpp
@@ -68,7 +68,7 @@
     for (const auto& [name, tracker] : hosts_.all()) {
         const HostRecord* host = context_.state().host(name);
         if (!context_.led_here(host) || host->leaves()) continue;
-        const bool silent = hosts_.silent(tracker, now);
+        const bool silent = hosts_.is_silent(tracker, now);
         for (SilentCount* count : {&silence.byZone[host->zone], &silence.total}) {
             count->silent += silent;
             ++count->all;
--- a/src/controller/commands.cpp
+++ b/src/controller/commands.cpp
@@ -26,8 +26,8 @@
         TaskKey key{ref.job->id, ref.index};
         auto seen = n.tasks.find(key);
         if (seen == n.tasks.end() || seen->second.attempt != s.attempt ||
-            seen->second.phase == wire::TaskPhase::ended || reconciliation::stopping(cancellations_, *ref.job, s) ||
-            n.evict.count(key))
+            seen->second.phase == wire::TaskPhase::ended || reconciliation::must_stop(cancellations_, *ref.job, s) ||
+            n.evictions.count(key))
             return false;
     }
     return true;
@@ -45,7 +45,7 @@
         placedHere[key] = s.attempt;
         auto seen = n->tasks.find(key);
         bool there = seen != n->tasks.end() && seen->second.attempt == s.attempt;
-        bool stop = reconciliation::stopping(cancellations_, *ref.job, s) || n->evict.count(key);
+        bool stop = reconciliation::must_stop(cancellations_, *ref.job, s) || n->evictions.count(key);
         if (there && seen->second.phase != wire::TaskPhase::ended && stop) {
             SentStop& note = n->stops[key];
             bool first = note.attempt != s.attempt;
@@ -110,7 +110,7 @@
                                                                         : schedule_.due_hosts().erase(it);
             continue;
         }
-        if (in_sync(*h, *n) && !n->needFence) {
+        if (in_sync(*h, *n) && !n->needsFencing) {
             it = schedule_.due_hosts().erase(it);
             continue;
         }
@@ -148,7 +148,7 @@
                   n.lease.describe(now.steady));
 }
 
-void Core::commands_sent(const std::string& host, const std::vector<wire::Command>& commands, Timestamp now) {
+void Core::on_commands_sent(const std::string& host, const std::vector<wire::Command>& commands, Timestamp now) {
     HostTracker& n = hosts_.track(host);
     for (const wire::Command& o : commands) {
         if (o.type == wire::CommandType::start) {
@@ -165,8 +165,8 @@
     }
 }
 
-void Core::commands_answered(const std::string& host, const std::vector<wire::Command>& commands, bool answered,
-                             std::uint64_t fencingToken) {
+void Core::on_commands_answered(const std::string& host, const std::vector<wire::Command>& commands, bool answered,
+                                std::uint64_t fencingToken) {
     HostTracker* tracker = hosts_.find(host);
     if (!tracker) return;
     for (const wire::Command& o : commands) {
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -82,22 +82,22 @@
     return job.placed > 0 ? "running" : "queued";
 }
 
-std::optional<Answer> Core::known(const std::string& id) {
+std::optional<UserResponse> Core::find_submission(const std::string& id) {
     if (const auto* f = context_.state().final(id))
-        return Answer{200, {{"ref", id}, {"phase", f->state == JobState::done ? "done" : "aborted"}}, 0};
+        return UserResponse{200, {{"ref", id}, {"phase", f->state == JobState::done ? "done" : "aborted"}}, 0};
     if (const Job* job = context_.state().job(id))
-        return Answer{
+        return UserResponse{
             200, {{"ref", id}, {"phase", phase_name(*job)}, {"done", job->done}, {"running", job->placed}}, 0};
     return std::nullopt;
 }
 
-Answer Core::poll(const std::string& id) {
-    if (auto a = known(id)) return *a;
+UserResponse Core::job_status(const std::string& id) {
+    if (auto a = find_submission(id)) return *a;
     return {404, {{"error", "no such job"}}, 0};
 }
 
-std::optional<std::string> Core::never_runs(const wire::JobSpec& s, bool& unsure) const {
-    unsure = false;
+std::optional<std::string> Core::infeasibility_reason(const wire::JobSpec& s, bool& undetermined) const {
+    undetermined = false;
     const config::Team* team = settings_.team(s.team);
     if (!team) return "unknown team " + s.team;
     // All of a gang, and all replicas of a service, run at the same time.
@@ -109,7 +109,7 @@
     if (state::TransactionBuilder::submission_size(s) > state_limits().value_bytes())
         return "the description is larger than can be stored";
     if (context_.state().types().empty()) {
-        unsure = true;
+        undetermined = true;
         return std::nullopt;
     }
     std::set<std::string> zones;  // in which a task may run
@@ -127,7 +127,7 @@
     return std::nullopt;
 }
 
-std::map<std::string, std::uint64_t> Core::others() const {
+std::map<std::string, std::uint64_t> Core::peer_incarnations() const {
     std::map<std::string, std::uint64_t> out;
     for (const auto& m : settings_.members) {
         auto it = context_.state().members().find(m.name);
@@ -162,16 +162,16 @@
             ++it;
             continue;
         }
-        if (n.state == HostState::confirmed && hosts_.silent(n, now)) {
+        if (n.state == HostState::confirmed && hosts_.is_silent(n, now)) {
             n.state.become(HostState::silent);
             spdlog::info("host {} is silent: lease {}", name, n.lease.describe(now.steady));
             changed = true;
             schedule_.request_plan();
         }
         // Only our own fencing token can renew the lease (the host has confirmed it), and nobody else may use that.
-        if (n.state == HostState::silent && n.lease.ended(now.steady, settings_.leaseS)) {
+        if (n.state == HostState::silent && n.lease.expired(now.steady, settings_.leaseS)) {
             n.state.become(HostState::expired);
-            heartbeatStatistics_.lease_ended();
+            heartbeatStatistics_.record_lease_expiry();
             spdlog::info(
                 "lease of host {} has expired with {} tasks: lease {}, newest heartbeat {}/{}, fencing token {}", name,
                 h ? h->placed.size() : 0, n.lease.describe(now.steady), n.agentEpoch, n.sequence, n.leaderToken);
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -45,7 +45,7 @@
 using Tunables = scheduling::TuningOptions;
 
 // The answer to a user's request: HTTP status, body, and seconds after which to retry (0: no such header).
-struct Answer {
+struct UserResponse {
     int status = 200;
     wire::Json body;
     double retryAfterS = 0;
@@ -89,11 +89,11 @@
 
     // --- users
     // The answer to a repeat of a known submission: the job is final, or open and the cached state is current.
-    std::optional<Answer> known(const std::string& id);
+    std::optional<UserResponse> find_submission(const std::string& id);
     // The cached state must be current, unless the job is final.
-    Answer poll(const std::string& id);
-    // Why the job can never run; nothing if it can. `unsure` when the machine types are not known yet.
-    std::optional<std::string> never_runs(const wire::JobSpec& spec, bool& unsure) const;
+    UserResponse job_status(const std::string& id);
+    // Why the job can never run; nothing if it can. `undetermined` when the machine types are not known yet.
+    std::optional<std::string> infeasibility_reason(const wire::JobSpec& spec, bool& undetermined) const;
 
     // --- workers
     // Answers a worker's heartbeat. The only place that grants an answer of 200, which renews the worker's lease, and
@@ -104,9 +104,9 @@
     std::vector<wire::Command> commands_for(const std::string& host, bool byCommand, Timestamp now);
     // Commands that should go out now rather than with their hosts' next heartbeats.
     std::vector<std::pair<std::string, std::vector<wire::Command>>> commands_due(Timestamp now);
-    void commands_sent(const std::string& host, const std::vector<wire::Command>& commands, Timestamp now);
-    void commands_answered(const std::string& host, const std::vector<wire::Command>& commands, bool answered,
-                           std::uint64_t fencingToken);
+    void on_commands_sent(const std::string& host, const std::vector<wire::Command>& commands, Timestamp now);
+    void on_commands_answered(const std::string& host, const std::vector<wire::Command>& commands, bool answered,
+                              std::uint64_t fencingToken);
     HeartbeatStatistics& heartbeat_statistics() { return heartbeatStatistics_; }
     // Asks the next round to register the host here.
     void request_acquisition(const wire::Heartbeat& r) { failover_.request_acquisition(r); }
@@ -144,8 +144,8 @@
     // Finds what lacks room; once for a series of scale-out requests.
     void plan_scale_out(Timestamp now);
     std::vector<ScaleOutRequest> scale_out_requests(Timestamp now);
-    void rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now);
-    void refused(const ScaleOutRequest& order, Timestamp now);
+    void record_rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now);
+    void record_refused(const ScaleOutRequest& order, Timestamp now);
     std::vector<std::string> scale_in_due(Timestamp now) const { return scaleIn_.due(now); }
     void mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now) {
         scaleIn_.mark_gone(builder, hosts, now);
@@ -154,12 +154,12 @@
     // --- peers
     void set_peer_status(const peers::PeerStatus& peerStatus, Timestamp now) { peers_.receive(peerStatus, now); }
     peers::PeerStatus own_peer_status(double storeAgeS, Timestamp now) const;
-    bool peer_has_store(Timestamp now) const { return peers_.any_has_state_service(now); }
+    bool peer_has_state_service(Timestamp now) const { return peers_.any_has_state_service(now); }
     // All cancellations that are confirmed, as far as this controller knows.
     std::vector<std::string> cancellations() const { return cancellations_.all(); }
     void record_cancellations(const std::vector<std::string>& ids) { cancellations_.record(ids); }
     // The incarnation of each other controller by the last read, 0 for one that is not registered.
-    std::map<std::string, std::uint64_t> others() const;
+    std::map<std::string, std::uint64_t> peer_incarnations() const;
     bool peer_heard(Timestamp now) const { return peers_.any_heard(now); }
 
     static const char* phase_name(const state::Job& job);
--- a/src/controller/heartbeat_statistics.cpp
+++ b/src/controller/heartbeat_statistics.cpp
@@ -14,7 +14,7 @@
 HeartbeatStatistics::HeartbeatStatistics()
     : leaseShares_(boost::histogram::make_histogram(Axis(kBins, 0, kLargestShare))) {}
 
-void HeartbeatStatistics::answered(double leaseShare, bool overtaken) {
+void HeartbeatStatistics::record_renewal(double leaseShare, bool overtaken) {
     ++answered_;
     overtaken_ += overtaken;
     leaseShares_(leaseShare);
--- a/src/controller/heartbeat_statistics.hpp
+++ b/src/controller/heartbeat_statistics.hpp
@@ -12,12 +12,12 @@
     HeartbeatStatistics();
 
     // An answer that renews a lease. `leaseShare`: what part of the lease had passed since the last one.
-    void answered(double leaseShare, bool overtaken);
-    void refused_as_older() { ++refusedAsOlder_; }
-    void lease_ended() { ++leasesEnded_; }
+    void record_renewal(double leaseShare, bool overtaken);
+    void record_stale_heartbeat() { ++refusedAsOlder_; }
+    void record_lease_expiry() { ++leasesEnded_; }
     // A machine reports in a session whose lease was counted as ended. Beside heartbeats that were held back on the
     // way, this shows a lease that was counted too short.
-    void back_in_ended_session() { ++backInEndedSession_; }
+    void record_return_after_expiry() { ++backInEndedSession_; }
 
     bool empty() const { return answered_ + refusedAsOlder_ + leasesEnded_ == 0; }
     // One line for the log; the counts begin anew.
--- a/src/controller/heartbeats.cpp
+++ b/src/controller/heartbeats.cpp
@@ -32,15 +32,15 @@
     const bool countedAsEnded = n.state == HostState::expired && r.agentEpoch == n.lease.agent_epoch();
     const workers::WorkerLease before = n.lease;
     if (!n.lease.renew(r.agentEpoch, r.sequence, now.steady)) {
-        heartbeatStatistics_.refused_as_older();
+        heartbeatStatistics_.record_stale_heartbeat();
         spdlog::debug("heartbeat {}/{} of {} is rejected as stale: lease {}", r.agentEpoch, r.sequence, r.host,
                       before.describe(now.steady));
         return false;
     }
-    const bool overtaken = !n.newer(r);
-    heartbeatStatistics_.answered(before.age(now.steady) / settings_.leaseS, overtaken);
+    const bool overtaken = !n.is_newer(r);
+    heartbeatStatistics_.record_renewal(before.age(now.steady) / settings_.leaseS, overtaken);
     if (countedAsEnded) {
-        heartbeatStatistics_.back_in_ended_session();
+        heartbeatStatistics_.record_return_after_expiry();
         spdlog::warn("host {} sends heartbeats in an agent epoch whose lease was counted as expired: {}", r.host,
                      before.describe(now.steady));
     }
--- a/src/controller/scale_out.cpp
+++ b/src/controller/scale_out.cpp
@@ -27,13 +27,13 @@
     scaleIn_.set_machines(std::move(machines));
 }
 
-void Core::rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now) {
+void Core::record_rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now) {
     for (const auto& h : hosts) pendingHosts_[h] = {order, now.steady};
     if (!hosts.empty()) backoffs_.erase(offer_key(order));
-    if (hosts.size() < order.number) refused(order, now);
+    if (hosts.size() < order.number) record_refused(order, now);
 }
 
-void Core::refused(const ScaleOutRequest& order, Timestamp now) {
+void Core::record_refused(const ScaleOutRequest& order, Timestamp now) {
     Backoff& r = backoffs_[offer_key(order)];
     r.untilS = now.steady + settings_.leaseS;
 }
--- a/src/failover/host_failover.cpp
+++ b/src/failover/host_failover.cpp
@@ -168,7 +168,7 @@
     for (const auto& [name, tracker] : hosts_.all()) {
         HostRecord* host = context_.state().host(name);
         // A host that no answer reaches could not confirm the new token.
-        if (!tracker.needFence || tracker.unreachable() || !context_.led_here(host)) continue;
+        if (!tracker.needsFencing || tracker.unreachable() || !context_.led_here(host)) continue;
         if (!builder.acquire(*host, context_.member(), context_.incarnation())) return false;
     }
     return true;
@@ -204,7 +204,7 @@
     for (HostRecord* host : shard.hosts) {
         const HostTracker* tracker = hosts_.find(host->name);
         if (!context_.led_here(host) || host->leaves() || !tracker) continue;
-        if (tracker->state != HostState::confirmed || tracker->needFence || tracker->missedAnswers) continue;
+        if (tracker->state != HostState::confirmed || tracker->needsFencing || tracker->missedAnswers) continue;
         any = builder.acquire(*host, member, incarnation) || any;
     }
     return any;
--- a/src/reconciliation/job_history.hpp
+++ b/src/reconciliation/job_history.hpp
@@ -23,7 +23,7 @@
 class JobHistories {
   public:
     // Begins an empty history if there is none.
-    JobHistory& of(const std::string& job) { return histories_[job]; }
+    JobHistory& get_or_create(const std::string& job) { return histories_[job]; }
     void erase(const std::string& job) { histories_.erase(job); }
     // Whether the job has to wait after failures or refused starts.
     bool backing_off(const std::string& job, Timestamp now) const;
--- a/src/reconciliation/stop_decision.cpp
+++ b/src/reconciliation/stop_decision.cpp
@@ -2,7 +2,7 @@
 
 namespace wellstair::reconciliation {
 
-bool stopping(const leadership::CancellationRegistry& cancellations, const state::Job& job, const state::Task& task) {
+bool must_stop(const leadership::CancellationRegistry& cancellations, const state::Job& job, const state::Task& task) {
     if (cancellations.cancelled(job)) return true;
     if (!job.wide_gang()) return false;
     return job.gang_state() == state::GangState::broken || (job.stopAttempt && job.stopAttempt == task.attempt);
--- a/src/reconciliation/stop_decision.hpp
+++ b/src/reconciliation/stop_decision.hpp
@@ -9,7 +9,7 @@
 namespace wellstair::reconciliation {
 
 // Whether the task has to stop: its job is cancelled, or it belongs to a gang that has lost a task or whose attempt is
-// being stopped. A task that only has to leave its host is in `HostTracker::evict` instead.
-bool stopping(const leadership::CancellationRegistry& cancellations, const state::Job& job, const state::Task& task);
+// being stopped. A task that only has to leave its host is in `HostTracker::evictions` instead.
+bool must_stop(const leadership::CancellationRegistry& cancellations, const state::Job& job, const state::Task& task);
 
 }  // namespace wellstair::reconciliation
--- a/src/reconciliation/task_failure_recorder.cpp
+++ b/src/reconciliation/task_failure_recorder.cpp
@@ -55,7 +55,7 @@
 void TaskFailureRecorder::record_replica_end(const std::string& service, const std::string& host, Timestamp now) {
     const config::Settings& settings = context_.settings();
     const double longestPauseS = kLongestPauseLeases * settings.leaseS;
-    JobHistory& history = histories_.of(service);
+    JobHistory& history = histories_.get_or_create(service);
     if (now.steady - history.lastFailureS > longestPauseS) history = {};  // an earlier series of ends is forgotten
     history.lastFailureS = now.steady;
     history.failedOn.insert(host);
@@ -74,7 +74,7 @@
 void TaskFailureRecorder::record_error(HostTracker& tracker, const std::string& host, const TaskKey& key, bool service,
                                        Timestamp now) {
     const config::Settings& settings = context_.settings();
-    JobHistory& history = histories_.of(key.first);
+    JobHistory& history = histories_.get_or_create(key.first);
     history.failedOn.insert(host);
     if (!service) ++history.failures;
     ++tracker.failures;
@@ -100,7 +100,7 @@
 
 void TaskFailureRecorder::record_refused_start(const std::string& host, const TaskKey& key, Cause cause,
                                                Timestamp now) {
-    JobHistory& history = histories_.of(key.first);
+    JobHistory& history = histories_.get_or_create(key.first);
     const double pauseS = context_.settings().heartbeatIntervalS / kRefusalPauseDivisor;
     history.notBeforeS = std::max(history.notBeforeS, now.steady + pauseS);
     spdlog::info("start of {}/{} refused by {}: {}", key.first, key.second, host, static_cast<int>(cause));
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -62,13 +62,13 @@
     HostRecord* host = context_.state().host(heartbeat.host);
     if (!context_.led_here(host)) return;
     HostTracker& tracker = hosts_.track(heartbeat.host);
-    if (!tracker.newer(heartbeat)) return;  // held back on the way, or overtaken
+    if (!tracker.is_newer(heartbeat)) return;  // held back on the way, or overtaken
     const ObservedTasks tasksBefore = tracker.tasks;
     const int missedAnswersBefore = tracker.missedAnswers;
     const bool confirmedBefore = tracker.state == HostState::confirmed;
     const bool noticeBefore = tracker.preemptionAtS.has_value();
 
-    tracker.take(heartbeat, source, now.steady);
+    tracker.update(heartbeat, source, now.steady);
     const bool noticeChanged = noticeBefore != tracker.preemptionAtS.has_value();
     if (tracker.missedAnswers != missedAnswersBefore) schedule_.request_plan();
     log_reachability(heartbeat.host, missedAnswersBefore, tracker);
@@ -115,7 +115,7 @@
 void TaskReconciler::on_task_change(Job& job, std::uint32_t index, const Task& before, const Task& after) {
     schedule_.request_round();
     if (before.host && before.host != after.host)
-        if (HostTracker* tracker = hosts_.find(before.host->name)) tracker->evict.erase(TaskKey{job.id, index});
+        if (HostTracker* tracker = hosts_.find(before.host->name)) tracker->evictions.erase(TaskKey{job.id, index});
     if (job.service() && before.host && !after.host) histories_.record_lost_replica(job.id, context_.now());
     if (before.host) {
         schedule_.request_plan();
@@ -165,7 +165,7 @@
         return;
     }
     if (job.service() && !may_move_replica(job, ref.index, now)) return;
-    tracker.evict.try_emplace({job.id, ref.index}, now.steady);
+    tracker.evictions.try_emplace({job.id, ref.index}, now.steady);
 }
 
 // The next replica is moved when all others are placed and have had the time to fetch their image. What the hosts of
@@ -181,7 +181,7 @@
         const double placedForS = now.wall - static_cast<double>(other.atS);
         if (placedForS < fetchS + context_.settings().heartbeatIntervalS) return false;
         const HostTracker* tracker = hosts_.find(other.host->name);
-        if (tracker && tracker->evict.count({job.id, i})) return false;
+        if (tracker && tracker->evictions.count({job.id, i})) return false;
     }
     return true;
 }
--- a/src/reconciliation/termination_proof.cpp
+++ b/src/reconciliation/termination_proof.cpp
@@ -51,7 +51,7 @@
         return gone("started in an earlier agent epoch");
     if (sent && sent->unanswered >= host.fencingToken) {
         // This start may still execute minutes from now, unless the host confirms a higher fencing token.
-        tracker.needFence = true;
+        tracker.needsFencing = true;
         return {};
     }
     auto observed = tracker.tasks.find(key);
@@ -65,7 +65,7 @@
                                                  const Task& task, const SentStart* sent) const {
     if (task.fencingToken != host.fencingToken)
         return gone("placed under an older fencing token, and absent under this one");
-    const bool stops = stopping(cancellations_, job, task);
+    const bool stops = must_stop(cancellations_, job, task);
     if (!sent) return stops || host.leaves() ? gone("never sent") : TerminationProof{};
     if (sent->seen) return gone("no longer in heartbeats");
     // Sent with the response to a heartbeat and absent from a newer heartbeat: the worker dropped it then and cannot
--- a/src/reconciliation/termination_proof.hpp
+++ b/src/reconciliation/termination_proof.hpp
@@ -31,7 +31,7 @@
         : context_(context), cancellations_(cancellations), hosts_(hosts) {}
 
     // What is proven of a task that is placed on the host. If only a higher fencing token can bring the proof, this
-    // asks for one (`HostTracker::needFence`).
+    // asks for one (`HostTracker::needsFencing`).
     TerminationProof prove(const state::HostRecord& host, const state::TaskRef& ref);
 
   private:
--- a/src/scheduling/host_eligibility.cpp
+++ b/src/scheduling/host_eligibility.cpp
@@ -26,7 +26,7 @@
     const HostTracker* tracker = hosts_.find(host.name);
     if (!tracker) return false;
     return tracker->state == HostState::confirmed && tracker->seenToken == host.fencingToken &&
-           !tracker->preemptionAtS && !tracker->needFence && !tracker->missedAnswers &&
+           !tracker->preemptionAtS && !tracker->needsFencing && !tracker->missedAnswers &&
            now.steady >= tracker->quarantineUntilS;
 }
 
--- a/src/scheduling/placement_model.cpp
+++ b/src/scheduling/placement_model.cpp
@@ -102,7 +102,7 @@
     const Task task = ref.job->task(ref.index, context_.state().chunk_size());
     double until = task.atS + spec.imageGb / machine.fetchGbPerS + occupied_s(spec);
     until = std::max(until, now.wall + std::max(intervalS, spec.estimatedDurationS / kOverdueDivisor));
-    const bool preempted = tracker && tracker->evict.count({ref.job->id, ref.index});
+    const bool preempted = tracker && tracker->evictions.count({ref.job->id, ref.index});
     if (preempted) until = now.wall + spec.checkpointWriteS + intervalS / kStopDelayDivisor;
     return {now.wall - 1, until, need_of(spec)};
 }
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -178,7 +178,7 @@
 void Preemption::preempt_task(const TaskRef& victim, const HostRecord& host, const state::Job& beneficiary,
                               Timestamp now) {
     HostTracker& tracker = hosts_.track(host.name);
-    if (!tracker.evict.try_emplace({victim.job->id, victim.index}, now.steady).second) return;
+    if (!tracker.evictions.try_emplace({victim.job->id, victim.index}, now.steady).second) return;
     spdlog::info("preempt {}/{} on {} for {}", victim.job->id, victim.index, host.name, beneficiary.id);
     schedule_.mark_due(host);
 }
--- a/src/service/answers.cpp
+++ b/src/service/answers.cpp
@@ -6,7 +6,7 @@
 
 constexpr double kRetryAfterS = 1;
 
-controller::Answer phase_answer(int status, const std::string& id, const char* phase) {
+controller::UserResponse phase_answer(int status, const std::string& id, const char* phase) {
     return {status, {{"ref", id}, {"phase", phase}}, 0};
 }
 
@@ -28,19 +28,19 @@
     return {200, {{"baton", fencingToken}, {"orders", to_json(commands)}}, 0, ""};
 }
 
-api::Response to_response(const controller::Answer& answer) {
+api::Response to_response(const controller::UserResponse& answer) {
     return {answer.status, answer.body, answer.retryAfterS, ""};
 }
 
-controller::Answer submitted_answer(const std::string& id) {
+controller::UserResponse submitted_answer(const std::string& id) {
     return phase_answer(201, id, "queued");
 }
 
-controller::Answer cancelled_answer(const std::string& id) {
+controller::UserResponse cancelled_answer(const std::string& id) {
     return phase_answer(200, id, "aborted");
 }
 
-controller::Answer unavailable_answer(const char* reason) {
+controller::UserResponse unavailable_answer(const char* reason) {
     return {503, {{"error", reason}}, kRetryAfterS};
 }
 
--- a/src/service/answers.hpp
+++ b/src/service/answers.hpp
@@ -25,16 +25,16 @@
 api::Response commands_reply(std::uint64_t fencingToken, const std::vector<wire::Command>& commands);
 
 // An answer to a user as a response.
-api::Response to_response(const controller::Answer& answer);
+api::Response to_response(const controller::UserResponse& answer);
 
 // 201: the submission is durable.
-controller::Answer submitted_answer(const std::string& id);
+controller::UserResponse submitted_answer(const std::string& id);
 
 // 200: the cancellation is durable.
-controller::Answer cancelled_answer(const std::string& id);
+controller::UserResponse cancelled_answer(const std::string& id);
 
 // 503 with Retry-After, for a request in the queue.
-controller::Answer unavailable_answer(const char* reason);
+controller::UserResponse unavailable_answer(const char* reason);
 
 inline constexpr const char* kStoreDoesNotAnswer = "the state service does not answer";
 
--- a/src/service/availability_monitor.cpp
+++ b/src/service/availability_monitor.cpp
@@ -15,15 +15,15 @@
 leadership::AvailabilitySignals AvailabilityMonitor::signals() const {
     const controller::Core& core = context_.core;
     const double nowS = net::steady_now();
-    const double readS =
-        std::max(reader_.last_read_s(), peerStatus_.cancellation_barrier().acknowledged_until(core.others()));
+    const double readS = std::max(reader_.last_read_s(),
+                                  peerStatus_.cancellation_barrier().acknowledged_until(core.peer_incarnations()));
     leadership::AvailabilitySignals out;
     out.registered = core.member_revision() != 0;
     out.storeAgeS = nowS - store_.last_ok();
     out.stateReadAgeS = nowS - readS;
     out.hasPeers = !context_.settings.members.empty();
     out.peerHeard = core.peer_heard(now());
-    out.peerHasStore = core.peer_has_store(now());
+    out.peerHasStore = core.peer_has_state_service(now());
     out.disconnectedS = nowS - disconnectedSinceS_;
     out.readFailedS = readBarrier_.failed_since_s() > 0 ? nowS - readBarrier_.failed_since_s() : 0;
     return out;
--- a/src/service/cloud_loop.cpp
+++ b/src/service/cloud_loop.cpp
@@ -107,8 +107,8 @@
         if (requests.empty() || !may_call()) break;
         const controller::ScaleOutRequest request = requests.front();
         RentResult result = co_await rent(request);
-        if (result.kind == RentResult::Kind::rented) core.rented(request, result.hosts, now());
-        if (result.kind == RentResult::Kind::refused) core.refused(request, now());
+        if (result.kind == RentResult::Kind::rented) core.record_rented(request, result.hosts, now());
+        if (result.kind == RentResult::Kind::refused) core.record_refused(request, now());
         if (result.kind == RentResult::Kind::failed) break;
     }
 }
--- a/src/service/command_sender.cpp
+++ b/src/service/command_sender.cpp
@@ -16,7 +16,7 @@
         if (!channels_.make_ready(host)) continue;
         const auto* record = core.state().host(host);
         const auto* tracker = core.tracker(host);
-        core.commands_sent(host, commands, now());
+        core.on_commands_sent(host, commands, now());
         Delivery delivery;
         delivery.host = host;
         delivery.address = tracker->address;
@@ -30,11 +30,11 @@
 asio::awaitable<void> CommandSender::send(Delivery delivery) {
     controller::Core& core = context_.core;
     const double timeoutS = context_.settings.heartbeatIntervalS * kTimeoutPerHeartbeatInterval;
-    auto result = co_await channels_.command(delivery.host, delivery.address, delivery.fencingToken,
-                                             delivery.agentEpoch, delivery.commands, timeoutS);
+    auto result = co_await channels_.send(delivery.host, delivery.address, delivery.fencingToken, delivery.agentEpoch,
+                                          delivery.commands, timeoutS);
     if (result.heartbeat && result.heartbeat->host == delivery.host)
         core.handle_command_reply(*result.heartbeat, now());
-    core.commands_answered(delivery.host, delivery.commands, result.answered, delivery.fencingToken);
+    core.on_commands_answered(delivery.host, delivery.commands, result.answered, delivery.fencingToken);
     if (!result.answered) spdlog::info("no answer from {} to {} commands", delivery.host, delivery.commands.size());
     context_.signals.roundDue.notify();
 }
--- a/src/service/command_sender.hpp
+++ b/src/service/command_sender.hpp
@@ -14,7 +14,7 @@
 
 class CommandSender {
   public:
-    CommandSender(LoopContext context, workers::Channels& channels) : context_(context), channels_(channels) {}
+    CommandSender(LoopContext context, workers::CommandChannels& channels) : context_(context), channels_(channels) {}
 
     // Starts to send all commands that are due, as far as there are connections for them.
     void send_due();
@@ -29,7 +29,7 @@
     asio::awaitable<void> send(Delivery delivery);
 
     LoopContext context_;
-    workers::Channels& channels_;
+    workers::CommandChannels& channels_;
 };
 
 }  // namespace wellstair::service
--- a/src/service/periodic_checks.hpp
+++ b/src/service/periodic_checks.hpp
@@ -12,7 +12,7 @@
 class PeriodicChecks {
   public:
     PeriodicChecks(LoopContext context, AvailabilityMonitor& availability, Committer& committer,
-                   workers::Channels& channels)
+                   workers::CommandChannels& channels)
         : context_(context), availability_(availability), committer_(committer), channels_(channels) {}
 
     // Checks several times a second, for ever.
@@ -24,7 +24,7 @@
     LoopContext context_;
     AvailabilityMonitor& availability_;
     Committer& committer_;
-    workers::Channels& channels_;
+    workers::CommandChannels& channels_;
     double loggedAtS_ = 0;
 };
 
--- a/src/service/service.hpp
+++ b/src/service/service.hpp
@@ -49,7 +49,7 @@
     LoopContext context_;
     store::Client store_;
     cloud::Client cloud_;
-    workers::Channels channels_;
+    workers::CommandChannels channels_;
 
     StateReader stateReader_;
     ReadBarrier readBarrier_;
--- a/src/service/user_api.cpp
+++ b/src/service/user_api.cpp
@@ -20,7 +20,7 @@
 asio::awaitable<std::optional<Response>> UserApi::repeat_answer(std::string id) {
     const bool current = co_await state_is_current();
     if (!current) co_return unavailable(kStoreDoesNotAnswer);
-    if (auto known = context_.core.known(id)) co_return to_response(*known);
+    if (auto known = context_.core.find_submission(id)) co_return to_response(*known);
     co_return std::nullopt;
 }
 
@@ -38,7 +38,7 @@
 std::optional<Response> UserApi::objection(const ParsedJob& parsed) const {
     if (auto* invalid = std::get_if<wire::Invalid>(&parsed)) return refusal(400, invalid->reason);
     bool unsure = false;
-    auto never = context_.core.never_runs(std::get<wire::JobSpec>(parsed), unsure);
+    auto never = context_.core.infeasibility_reason(std::get<wire::JobSpec>(parsed), unsure);
     if (never) return refusal(422, *never);
     if (unsure) return unavailable("the machine types are not known yet");
     return std::nullopt;
@@ -56,31 +56,31 @@
 
 asio::awaitable<Response> UserApi::accept(wire::JobSpec spec) {
     controller::Core& core = context_.core;
-    if (core.state().final(spec.id)) co_return to_response(*core.known(spec.id));
+    if (core.state().final(spec.id)) co_return to_response(*core.find_submission(spec.id));
     if (core.state().job(spec.id)) {
         auto repeat = co_await repeat_answer(spec.id);
         if (repeat) co_return *repeat;
     }
-    controller::Answer answer = co_await queue_.submit(std::move(spec));
+    controller::UserResponse answer = co_await queue_.submit(std::move(spec));
     co_return to_response(answer);
 }
 
 asio::awaitable<Response> UserApi::poll(std::string id) {
     controller::Core& core = context_.core;
-    if (core.state().final(id)) co_return to_response(core.poll(id));
+    if (core.state().final(id)) co_return to_response(core.job_status(id));
     const bool current = co_await state_is_current();
     if (!current) co_return unavailable(kStoreDoesNotAnswer);
-    co_return to_response(core.poll(id));
+    co_return to_response(core.job_status(id));
 }
 
 asio::awaitable<Response> UserApi::cancel(std::string id) {
     controller::Core& core = context_.core;
-    if (core.state().final(id)) co_return to_response(core.poll(id));
+    if (core.state().final(id)) co_return to_response(core.job_status(id));
     const bool current = co_await state_is_current();
     if (!current) co_return unavailable(kStoreDoesNotAnswer);
     auto* job = core.state().job(id);
-    if (!job || job->state != state::JobState::active) co_return to_response(core.poll(id));
-    controller::Answer answer = co_await queue_.cancel(std::move(id));
+    if (!job || job->state != state::JobState::active) co_return to_response(core.job_status(id));
+    controller::UserResponse answer = co_await queue_.cancel(std::move(id));
     co_return to_response(answer);
 }
 
--- a/src/service/user_request_queue.cpp
+++ b/src/service/user_request_queue.cpp
@@ -6,7 +6,7 @@
 
 namespace wellstair::service {
 
-using controller::Answer;
+using controller::UserResponse;
 using store::Outcome;
 
 namespace {
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-asio::awaitable<Answer> UserRequestQueue::submit(wire::JobSpec spec) {
+asio::awaitable<UserResponse> UserRequestQueue::submit(wire::JobSpec spec) {
     auto request = std::make_shared<Request>();
     request->kind = Request::Kind::submit;
     request->id = spec.id;
@@ -29,14 +29,14 @@
     co_return co_await enqueue(std::move(request));
 }
 
-asio::awaitable<Answer> UserRequestQueue::cancel(std::string id) {
+asio::awaitable<UserResponse> UserRequestQueue::cancel(std::string id) {
     auto request = std::make_shared<Request>();
     request->kind = Request::Kind::cancel;
     request->id = std::move(id);
     co_return co_await enqueue(std::move(request));
 }
 
-asio::awaitable<Answer> UserRequestQueue::enqueue(RequestPtr request) {
+asio::awaitable<UserResponse> UserRequestQueue::enqueue(RequestPtr request) {
     request->deadlineS = net::steady_now() + kDeadlineS;
     waiting_.push_back(request);
     requestAdded_.notify();
@@ -90,7 +90,7 @@
 
 void UserRequestQueue::sort_submission(state::TransactionBuilder& builder, const RequestPtr& request, Sorted& sorted) {
     controller::Core& core = context_.core;
-    if (auto known = core.known(request->id)) {
+    if (auto known = core.find_submission(request->id)) {
         // The cached state may be older than what another controller has told the user already.
         if (request->current || core.state().final(request->id))
             request->answer = known;
@@ -108,7 +108,7 @@
     controller::Core& core = context_.core;
     auto* job = core.state().job(request->id);
     if (!job || job->state != state::JobState::active)
-        request->answer = core.poll(request->id);
+        request->answer = core.job_status(request->id);
     else if (builder.cancel(*job, wall_seconds()))
         sorted.batch.push_back(request);
     else
--- a/src/service/user_request_queue.hpp
+++ b/src/service/user_request_queue.hpp
@@ -34,10 +34,10 @@
     asio::awaitable<void> run();
 
     // Submits a job; the answer comes when it is durable, or refused.
-    asio::awaitable<controller::Answer> submit(wire::JobSpec spec);
+    asio::awaitable<controller::UserResponse> submit(wire::JobSpec spec);
 
     // Cancels a job; the answer comes when that is durable, or refused.
-    asio::awaitable<controller::Answer> cancel(std::string id);
+    asio::awaitable<controller::UserResponse> cancel(std::string id);
 
   private:
     struct Request {
@@ -47,7 +47,7 @@
         double deadlineS = 0;  // steady clock: not tried again after it
         bool retried = false;  // after the state service was busy
         bool current = false;  // the state has been read up to a moment after the request came
-        std::optional<controller::Answer> answer;
+        std::optional<controller::UserResponse> answer;
     };
     using RequestPtr = std::shared_ptr<Request>;
     using Requests = std::vector<RequestPtr>;
@@ -58,7 +58,7 @@
         std::deque<RequestPtr> rest;  // of no room in the transaction
     };
 
-    asio::awaitable<controller::Answer> enqueue(RequestPtr request);
+    asio::awaitable<controller::UserResponse> enqueue(RequestPtr request);
     bool accepting() const;
     void refuse_all();
     Sorted sort(state::TransactionBuilder& builder);
--- a/src/workers/command_channel.cpp
+++ b/src/workers/command_channel.cpp
@@ -26,10 +26,10 @@
 
 // Room is made for a host's channel here: a kept connection to each of a thousand machines, beside those on which they
 // send heartbeats, would be more sockets than there are.
-bool Channels::make_ready(const std::string& host) {
+bool CommandChannels::make_ready(const std::string& host) {
     auto it = channels_.find(host);
     if (it != channels_.end()) return !it->second.busy;
-    if (channels_.size() < most_) return true;
+    if (channels_.size() < maxChannels_) return true;
     auto oldest = channels_.end();
     for (auto c = channels_.begin(); c != channels_.end(); ++c)
         if (!c->second.busy && (oldest == channels_.end() || c->second.lastUse < oldest->second.lastUse)) oldest = c;
@@ -38,7 +38,7 @@
     return true;
 }
 
-bool Channels::connect(Channel& channel, const std::string& address) {
+bool CommandChannels::connect(Channel& channel, const std::string& address) {
     if (channel.http && channel.address == address) return true;
     auto endpoint = parse_address(address);
     if (!endpoint) return false;
@@ -47,9 +47,9 @@
     return true;
 }
 
-asio::awaitable<CommandResult> Channels::command(std::string host, std::string address, std::uint64_t fencingToken,
-                                                 std::uint64_t agentEpoch, std::vector<wire::Command> commands,
-                                                 double timeoutS) {
+asio::awaitable<CommandResult> CommandChannels::send(std::string host, std::string address, std::uint64_t fencingToken,
+                                                     std::uint64_t agentEpoch, std::vector<wire::Command> commands,
+                                                     double timeoutS) {
     CommandResult result;
     Channel& channel = channels_[host];
     if (!connect(channel, address)) co_return result;
--- a/src/workers/command_channel.hpp
+++ b/src/workers/command_channel.hpp
@@ -24,10 +24,10 @@
     std::optional<wire::Heartbeat> heartbeat;  // what the worker reports in its answer
 };
 
-class Channels {
+class CommandChannels {
   public:
-    // `most`: hosts with a connection at a time; beyond that the one that was used longest ago is closed.
-    Channels(asio::io_context& io, std::size_t most) : io_(io), most_(most) {}
+    // `maxChannels`: hosts with a connection at a time; beyond that the one that was used longest ago is closed.
+    CommandChannels(asio::io_context& io, std::size_t maxChannels) : io_(io), maxChannels_(maxChannels) {}
 
     // Whether a command can be sent to the host now: none is under way there, and there is a connection for it, for
     // which room is made if need be.
@@ -35,9 +35,8 @@
 
     // Sends commands to the worker at `address` ("ip:port"), under the fencing token and for the session of its agent.
     // They are answered after `timeoutS` seconds at the latest.
-    asio::awaitable<CommandResult> command(std::string host, std::string address, std::uint64_t fencingToken,
-                                           std::uint64_t agentEpoch, std::vector<wire::Command> commands,
-                                           double timeoutS);
+    asio::awaitable<CommandResult> send(std::string host, std::string address, std::uint64_t fencingToken,
+                                        std::uint64_t agentEpoch, std::vector<wire::Command> commands, double timeoutS);
 
     // Drops the channels of hosts that are not to be kept, unless a command is under way there.
     void prune(const std::function<bool(const std::string&)>& keep) {
@@ -54,7 +53,7 @@
     bool connect(Channel& channel, const std::string& address);
 
     asio::io_context& io_;
-    std::size_t most_;
+    std::size_t maxChannels_;
     std::uint64_t uses_ = 0;
     std::unordered_map<std::string, Channel> channels_;
 };
--- a/src/workers/host_table.cpp
+++ b/src/workers/host_table.cpp
@@ -12,7 +12,7 @@
     return it == trackers_.end() ? nullptr : &it->second;
 }
 
-bool HostTable::silent(const HostTracker& host, Timestamp now) const {
+bool HostTable::is_silent(const HostTracker& host, Timestamp now) const {
     return host.lease.age(now.steady) > silent_after();
 }
 
--- a/src/workers/host_table.hpp
+++ b/src/workers/host_table.hpp
@@ -27,7 +27,7 @@
     const Trackers& all() const { return trackers_; }
 
     // Whether the host has sent no heartbeat for longer than one that is well ever does.
-    bool silent(const HostTracker& host, Timestamp now) const;
+    bool is_silent(const HostTracker& host, Timestamp now) const;
     // Seconds without a heartbeat after which a host counts as silent.
     double silent_after() const { return kSilentHeartbeats * settings_.heartbeatIntervalS; }
 
--- a/src/workers/host_tracker.cpp
+++ b/src/workers/host_tracker.cpp
@@ -4,7 +4,7 @@
 
 namespace wellstair::workers {
 
-void HostTracker::take(const wire::Heartbeat& heartbeat, StatusSource source, double nowS) {
+void HostTracker::update(const wire::Heartbeat& heartbeat, StatusSource source, double nowS) {
     if (source == StatusSource::heartbeat && agentEpoch) count_missed_answers(heartbeat, nowS);
     agentEpoch = heartbeat.agentEpoch;
     sequence = heartbeat.sequence;
@@ -54,7 +54,7 @@
     lease.begin(nowS);
     starts.clear();
     stops.clear();
-    needFence = false;
+    needsFencing = false;
     if (state != state::HostState::acquiring) state.become(state::HostState::acquiring);
     state.become(state::HostState::led);
 }
--- a/src/workers/host_tracker.hpp
+++ b/src/workers/host_tracker.hpp
@@ -68,7 +68,7 @@
     double unconfirmedS = kNeverS;  // since when the host has not confirmed that token
     WorkerLease lease;
     // A start may still execute late: the host is to be registered anew, and to confirm the higher fencing token.
-    bool needFence = false;
+    bool needsFencing = false;
     // Heartbeats in a row that did not follow the last message from here: the host has tried other controllers
     // meanwhile, as it does when an answer fails to reach it.
     int missedAnswers = 0;
@@ -77,7 +77,7 @@
     // --- commands
     std::map<TaskKey, SentStart> starts;
     std::map<TaskKey, SentStop> stops;
-    std::map<TaskKey, double> evict;  // tasks to be stopped (room for others, host being returned): since when
+    std::map<TaskKey, double> evictions;  // tasks to be stopped (room for others, host being returned): since when
 
     // --- failures
     int failures = 0;                   // errors in a row
@@ -86,12 +86,12 @@
 
     // Whether the heartbeat is newer than every status so far. Older ones are ignored: their task lists are out of
     // date.
-    bool newer(const wire::Heartbeat& heartbeat) const {
+    bool is_newer(const wire::Heartbeat& heartbeat) const {
         return heartbeat.agentEpoch > agentEpoch ||
                (heartbeat.agentEpoch == agentEpoch && heartbeat.sequence > sequence);
     }
     // Takes over the contents of a heartbeat that is newer.
-    void take(const wire::Heartbeat& heartbeat, StatusSource source, double nowS);
+    void update(const wire::Heartbeat& heartbeat, StatusSource source, double nowS);
     // A new leadership: what was noted under the last one proves nothing any more.
     void begin_leadership(std::uint64_t nextToken, double nowS);
     // Its heartbeats arrive, but our answers seem not to reach it: nothing is placed on it until one has.
--- a/src/workers/worker_lease.cpp
+++ b/src/workers/worker_lease.cpp
@@ -28,7 +28,7 @@
     countedFromS_ = std::max(countedFromS_, nowS);
 }
 
-bool WorkerLease::ended(double nowS, double leaseS) const {
+bool WorkerLease::expired(double nowS, double leaseS) const {
     return age(nowS) > leaseS * config::kClockDriftFactor + kTimerSlackS;
 }
 
--- a/src/workers/worker_lease.hpp
+++ b/src/workers/worker_lease.hpp
@@ -24,7 +24,7 @@
     bool begun() const { return countedFromS_ > 0; }
     double age(double nowS) const { return nowS - countedFromS_; }
     // Not before the worker's own clock says so, whatever of the drift of the two clocks is possible.
-    bool ended(double nowS, double leaseS) const;
+    bool expired(double nowS, double leaseS) const;
 
     std::uint64_t agent_epoch() const { return agentEpoch_; }
     std::uint64_t sequence() const { return sequence_; }
--- a/tests/golden_requests_test.cpp
+++ b/tests/golden_requests_test.cpp
@@ -107,14 +107,14 @@
 }
 
 TEST_F(GoldenRequests, Commands) {
-    workers::Channels channels(io_, 2);
+    workers::CommandChannels channels(io_, 2);
     std::vector<wire::Command> commands(2);
     commands[0].type = wire::CommandType::start, commands[0].job = "j-000412", commands[0].index = 4,
     commands[0].attempt = 2;
     commands[1].type = wire::CommandType::stop, commands[1].job = "j-000377", commands[1].index = 1,
     commands[1].attempt = 1, commands[1].gracePeriodS = 10;
     const std::string address = "127.0.0.1:" + std::to_string(server_.endpoint().port);
-    auto result = run_to_end(io_, channels.command("a-001", address, 12, 34, commands, 1));
+    auto result = run_to_end(io_, channels.send("a-001", address, 12, 34, commands, 1));
     ASSERT_TRUE(result);
     EXPECT_TRUE(result->answered);
     EXPECT_EQ(sent(), Texts{R"(POST /commands {"baton":12,"orders":[{"step":"j-000412/4","try":2,"verb":"start"},)"
--- a/tests/simulation/cluster_controllers.cpp
+++ b/tests/simulation/cluster_controllers.cpp
@@ -85,9 +85,9 @@
     signals.storeAgeS = state_.nowS - controller.lastStoreAnswerS;
     signals.stateReadAgeS =
         state_.nowS -
-        std::max(controller.lastReadS, controller.readBarrier.acknowledged_until(controller.core->others()));
+        std::max(controller.lastReadS, controller.readBarrier.acknowledged_until(controller.core->peer_incarnations()));
     signals.peerHeard = controller.core->peer_heard(state_.timestamp());
-    signals.peerHasStore = controller.core->peer_has_store(state_.timestamp());
+    signals.peerHasStore = controller.core->peer_has_state_service(state_.timestamp());
     controller.core->set_availability(
         leadership::next_availability(controller.core->availability(), signals, {kCancelS, kLeaseS}),
         state_.timestamp());
--- a/tests/simulation/cluster_invariants.cpp
+++ b/tests/simulation/cluster_invariants.cpp
@@ -116,15 +116,16 @@
 void ClusterInvariants::check_known(SimulatedController& controller, const std::string& id,
                                     const SubmittedJob& job) const {
     bool unsure = false;
-    EXPECT_FALSE(controller.core->never_runs(job.spec, unsure).has_value()) << id;
-    ASSERT_TRUE(controller.core->known(id).has_value()) << id << " is forgotten at " << controller.settings.member;
-    EXPECT_EQ(controller.core->poll(id).status, 200) << id;
+    EXPECT_FALSE(controller.core->infeasibility_reason(job.spec, unsure).has_value()) << id;
+    ASSERT_TRUE(controller.core->find_submission(id).has_value())
+        << id << " is forgotten at " << controller.settings.member;
+    EXPECT_EQ(controller.core->job_status(id).status, 200) << id;
 }
 
 void ClusterInvariants::check_answers(SimulatedController& controller) {
     cluster_.sync(controller);
     for (auto& [id, job] : cluster_.jobs) {
-        auto answer = controller.core->known(id);
+        auto answer = controller.core->find_submission(id);
         if (answer) check_answer(controller, id, job, answer->body.value("phase", ""));
     }
 }
@@ -218,7 +219,7 @@
 void ClusterInvariants::check_final_phase(SimulatedController& controller, const std::string& id,
                                           const SubmittedJob& job) const {
     cluster_.sync(controller);
-    auto answer = controller.core->poll(id);
+    auto answer = controller.core->job_status(id);
     EXPECT_EQ(answer.status, 200) << id;
     const std::string phase = answer.body.value("phase", "");
     if (job.spec.service() && !job.cancelRequested) {
--- a/tests/simulation/cluster_users.cpp
+++ b/tests/simulation/cluster_users.cpp
@@ -50,7 +50,7 @@
     bool service = false;
     const wire::JobSpec spec = random_job(number, service);
     bool unsure = false;
-    if (controller.core->never_runs(spec, unsure)) return;
+    if (controller.core->infeasibility_reason(spec, unsure)) return;
     state_.sync(controller);
     SubmittedJob& job = state_.jobs[spec.id];  // without an answer it may still be submitted later
     job.spec = spec;
--- a/tests/trace_controller_commands.cpp
+++ b/tests/trace_controller_commands.cpp
@@ -77,7 +77,7 @@
     leadership::AvailabilitySignals signals;
     signals.registered = core.member_revision() != 0;
     signals.storeAgeS = timeS_ - c.lastAnswerS;
-    signals.stateReadAgeS = timeS_ - std::max(c.lastReadS, c.readBarrier.acknowledged_until(core.others()));
+    signals.stateReadAgeS = timeS_ - std::max(c.lastReadS, c.readBarrier.acknowledged_until(core.peer_incarnations()));
     for (auto& [name, other] : controllers_) {
         if (&other == &c || !other.core) continue;
         signals.hasPeers = true;
@@ -85,7 +85,7 @@
         core.set_peer_status(other.core->own_peer_status(timeS_ - other.lastAnswerS, now()), now());
     }
     signals.peerHeard = core.peer_heard(now());
-    signals.peerHasStore = core.peer_has_store(now());
+    signals.peerHasStore = core.peer_has_state_service(now());
     const leadership::AvailabilityLimits limits{settings_.cancelS, settings_.leaseS};
     core.set_availability(leadership::next_availability(core.availability(), signals, limits), now());
     return state::AvailabilityTraits::name(core.availability());
@@ -121,7 +121,7 @@
 }
 
 std::string TraceRunner::peer_has_store(Controller& c, std::istringstream&) {
-    return yes_or_no(c.core->peer_has_store(now()));
+    return yes_or_no(c.core->peer_has_state_service(now()));
 }
 
 // --- users
@@ -131,9 +131,9 @@
     const std::string id = next_word(arguments);
     const wire::JobSpec spec = parse_job_line(id, arguments);
     sync(c);
-    if (auto known = core.known(id)) return describe(*known);
+    if (auto known = core.find_submission(id)) return describe(*known);
     bool unsure = false;
-    if (core.never_runs(spec, unsure)) return "422";
+    if (core.infeasibility_reason(spec, unsure)) return "422";
     auto builder = core.new_transaction();
     builder.submit(spec, c.name, wall_seconds());
     return commit(c, builder).find("applied") != std::string::npos ? "201" : "conflict";
@@ -143,7 +143,7 @@
     controller::Core& core = *c.core;
     const std::string id = next_word(arguments);
     auto* job = core.state().job(id);
-    if (!job || job->state != state::JobState::active) return describe(core.poll(id));
+    if (!job || job->state != state::JobState::active) return describe(core.job_status(id));
     auto builder = core.new_transaction();
     builder.cancel(*job, wall_seconds());
     return commit(c, builder);
@@ -153,7 +153,7 @@
 std::string TraceRunner::poll(Controller& c, std::istringstream& arguments) {
     const std::string id = next_word(arguments);
     sync(c);
-    return describe(c.core->poll(id));
+    return describe(c.core->job_status(id));
 }
 
 // --- workers
@@ -176,7 +176,7 @@
 std::string TraceRunner::send_due_commands(Controller& c, std::istringstream&) {
     std::string out;
     for (auto& [host, commands] : c.core->commands_due(now())) {
-        c.core->commands_sent(host, commands, now());
+        c.core->on_commands_sent(host, commands, now());
         c.unanswered[host] = commands;
         out += (out.empty() ? "" : "; ") + host + ": " + describe(commands);
     }
@@ -186,7 +186,7 @@
 std::string TraceRunner::send_commands(Controller& c, std::istringstream& arguments) {
     const std::string host = next_word(arguments);
     auto commands = c.core->commands_for(host, true, now());
-    c.core->commands_sent(host, commands, now());
+    c.core->on_commands_sent(host, commands, now());
     c.unanswered[host] = commands;
     return describe(commands);
 }
@@ -194,7 +194,7 @@
 std::string TraceRunner::lose_reply(Controller& c, std::istringstream& arguments) {
     controller::Core& core = *c.core;
     const std::string host = next_word(arguments);
-    core.commands_answered(host, c.unanswered[host], false, core.state().host(host)->fencingToken);
+    core.on_commands_answered(host, c.unanswered[host], false, core.state().host(host)->fencingToken);
     return "";
 }
 
@@ -202,7 +202,7 @@
     controller::Core& core = *c.core;
     const wire::Heartbeat reply = parse_heartbeat_line(arguments);
     core.handle_command_reply(reply, now());
-    core.commands_answered(reply.host, c.unanswered[reply.host], true, core.state().host(reply.host)->fencingToken);
+    core.on_commands_answered(reply.host, c.unanswered[reply.host], true, core.state().host(reply.host)->fencingToken);
     return "";
 }
 
--- a/tests/trace_language.cpp
+++ b/tests/trace_language.cpp
@@ -105,7 +105,7 @@
     return out.empty() ? "none" : out;
 }
 
-std::string describe(const controller::Answer& answer) {
+std::string describe(const controller::UserResponse& answer) {
     std::string out = std::to_string(answer.status);
     if (answer.body.contains("phase")) out += " " + answer.body["phase"].get<std::string>();
     if (answer.body.contains("done"))
--- a/tests/trace_language.hpp
+++ b/tests/trace_language.hpp
@@ -19,6 +19,6 @@
 // "start j-1/0#1, stop j-2/0#1", or "none".
 std::string describe(const std::vector<wire::Command>& commands);
 // Status, phase and counts.
-std::string describe(const controller::Answer& answer);
+std::string describe(const controller::UserResponse& answer);
 
 }  // namespace wellstair::test
--- a/tests/worker_lease_test.cpp
+++ b/tests/worker_lease_test.cpp
@@ -51,7 +51,7 @@
 bool answered(State& s, std::uint64_t number) {
     wire::Heartbeat heartbeat = numbered(number);
     if (!s.tracker.lease.renew(heartbeat.agentEpoch, heartbeat.sequence, s.now)) return false;
-    if (s.tracker.newer(heartbeat)) s.tracker.take(heartbeat, workers::StatusSource::heartbeat, s.now);
+    if (s.tracker.is_newer(heartbeat)) s.tracker.update(heartbeat, workers::StatusSource::heartbeat, s.now);
     return true;
 }
 
@@ -116,7 +116,7 @@
     if (next.from().commandReply)
         next.add([](State& n) {
             wire::Heartbeat reply = numbered(*n.commandReply);
-            if (n.tracker.newer(reply)) n.tracker.take(reply, workers::StatusSource::command_reply, n.now);
+            if (n.tracker.is_newer(reply)) n.tracker.update(reply, workers::StatusSource::command_reply, n.now);
             n.commandReply.reset();
         });
 }
@@ -162,8 +162,8 @@
         ASSERT_TRUE(lease.renew(1, 1, 0));
         // The worker's clock is slow by the whole drift: its lease ends so late by ours.
         const double endsS = leaseS * (1 + kLargestDrift);
-        EXPECT_FALSE(lease.ended(endsS, leaseS)) << leaseS;
-        EXPECT_TRUE(lease.ended(leaseS * 1.01 + 0.2, leaseS)) << leaseS << ": the tasks wait for nothing";
+        EXPECT_FALSE(lease.expired(endsS, leaseS)) << leaseS;
+        EXPECT_TRUE(lease.expired(leaseS * 1.01 + 0.2, leaseS)) << leaseS << ": the tasks wait for nothing";
     }
 }
 
