--- a/src/workers/command_channel.cpp
+++ b/src/workers/command_channel.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr int kOk = 200, kConflict = 409;  // both are answered with a heartbeat
+constexpr int kOk = 200, kConflict = 409;  // the response body of both is a heartbeat
 constexpr unsigned kMaxPort = 65535;
 
-// "ip:port"; nothing if it is not an address.
+// Parses "ip:port" with an IPv4 address. Returns nothing if the text is malformed.
 std::optional<config::Endpoint> parse_address(const std::string& address) {
     const auto colon = address.rfind(':');
     if (colon == std::string::npos) return std::nullopt;
@@ -24,17 +24,20 @@
 
 }  // namespace
 
-// Room is made for a host's channel here: a kept connection to each of a thousand machines, beside those on which they
-// send heartbeats, would be more sockets than there are.
+// The number of channels is bounded because a persistent connection to each of a thousand hosts, in addition to the
+// connections on which they send heartbeats, would exceed the socket limit.
 bool CommandChannels::make_ready(const std::string& host) {
     auto it = channels_.find(host);
     if (it != channels_.end()) return !it->second.busy;
     if (channels_.size() < maxChannels_) return true;
-    auto oldest = channels_.end();
-    for (auto c = channels_.begin(); c != channels_.end(); ++c)
-        if (!c->second.busy && (oldest == channels_.end() || c->second.lastUse < oldest->second.lastUse)) oldest = c;
-    if (oldest == channels_.end()) return false;
-    channels_.erase(oldest);
+    auto leastRecent = channels_.end();
+    for (auto candidate = channels_.begin(); candidate != channels_.end(); ++candidate) {
+        const Channel& channel = candidate->second;
+        if (!channel.busy && (leastRecent == channels_.end() || channel.lastUse < leastRecent->second.lastUse))
+            leastRecent = candidate;
+    }
+    if (leastRecent == channels_.end()) return false;
+    channels_.erase(leastRecent);
     return true;
 }
 
@@ -55,7 +58,7 @@
     if (!connect(channel, address)) co_return result;
     channel.busy = true;
     channel.lastUse = ++uses_;
-    auto http = channel.http;  // the channel may be gone when the answer comes
+    auto http = channel.http;  // the channel may have been erased by the time the response arrives
     wire::Json body;
     body["baton"] = fencingToken;
     body["tenure"] = agentEpoch;
--- a/src/workers/command_channel.hpp
+++ b/src/workers/command_channel.hpp
@@ -1,6 +1,6 @@
-// Commands straight to workers' addresses (PROTOCOL, workers): one request at a time for each host, over a kept
-// connection. Owns the connections. One io_context thread.
-// Errors: nothing throws; a command without an answer may still be executed, minutes later.
+// Sends commands to the workers' own addresses (PROTOCOL, workers): at most one request per host at a time, over a
+// persistent connection. Owns the connections. Runs on one io_context thread.
+// Errors: nothing throws. A command without a response may still be executed minutes later.
 #pragma once
 
 #include <cstdint>
@@ -18,43 +18,45 @@
 
 namespace asio = boost::asio;
 
-// What became of a request with commands.
+// The outcome of a command request.
 struct CommandResult {
-    bool answered = true;  // false: it may still be executed later; true also when it was never sent
-    std::optional<wire::Heartbeat> heartbeat;  // what the worker reports in its answer
+    bool answered = true;  // false: the commands may still be executed later; also true if the request was never sent
+    std::optional<wire::Heartbeat> heartbeat;  // the status that the worker reports in its response
 };
 
 class CommandChannels {
   public:
-    // `maxChannels`: hosts with a connection at a time; beyond that the one that was used longest ago is closed.
+    // `maxChannels`: how many hosts may have a connection at a time. Beyond that, the least recently used idle one is
+    // closed.
     CommandChannels(asio::io_context& io, std::size_t maxChannels) : io_(io), maxChannels_(maxChannels) {}
 
-    // Whether a command can be sent to the host now: none is under way there, and there is a connection for it, for
-    // which room is made if need be.
+    // Whether a command can be sent to the host now: no request to it is in flight, and the connection limit allows
+    // one. Closes the least recently used idle connection if that is needed.
     bool make_ready(const std::string& host);
 
-    // Sends commands to the worker at `address` ("ip:port"), under the fencing token and for the session of its agent.
-    // They are answered after `timeoutS` seconds at the latest.
+    // Sends commands to the worker at `address` ("ip:port"), carrying the leader's fencing token and the agent epoch
+    // that they are meant for. Completes after at most `timeoutS` seconds.
     asio::awaitable<CommandResult> send(std::string host, std::string address, std::uint64_t fencingToken,
                                         std::uint64_t agentEpoch, std::vector<wire::Command> commands, double timeoutS);
 
-    // Drops the channels of hosts that are not to be kept, unless a command is under way there.
+    // Closes the channels of hosts for which `keep` returns false, except those with a request in flight.
     void prune(const std::function<bool(const std::string&)>& keep) {
-        std::erase_if(channels_, [&](const auto& e) { return !e.second.busy && !keep(e.first); });
+        std::erase_if(channels_, [&](const auto& entry) { return !entry.second.busy && !keep(entry.first); });
     }
 
   private:
     struct Channel {
         std::string address;
         std::shared_ptr<net::HttpClient> http;
-        bool busy = false;
-        std::uint64_t lastUse = 0;  // counts up with each use
+        bool busy = false;          // a request is in flight
+        std::uint64_t lastUse = 0;  // value of `uses_` at the last request
     };
+    // Opens the channel's connection, or a new one if the address has changed. False if the address is malformed.
     bool connect(Channel& channel, const std::string& address);
 
     asio::io_context& io_;
     std::size_t maxChannels_;
-    std::uint64_t uses_ = 0;
+    std::uint64_t uses_ = 0;  // requests sent so far; orders the channels by last use
     std::unordered_map<std::string, Channel> channels_;
 };
 
--- a/src/workers/host_table.hpp
+++ b/src/workers/host_table.hpp
@@ -1,4 +1,4 @@
-// The trackers of all hosts that this controller leads or has led of late, by host name.
+// The trackers of all hosts that this controller leads or has led recently, by host name.
 //
 // Owns the trackers. Single-threaded, free of I/O.
 #pragma once
@@ -18,21 +18,23 @@
 
     explicit HostTable(const config::Settings& settings) : settings_(settings) {}
 
-    // Nothing if the host is not tracked.
+    // Returns null if the host is not tracked.
     HostTracker* find(const std::string& host);
     const HostTracker* find(const std::string& host) const;
-    // Begins to track the host if it is not tracked yet.
+    // Returns the host's tracker; creates one if the host is not tracked yet.
     HostTracker& track(const std::string& host) { return trackers_[host]; }
     Trackers& all() { return trackers_; }
     const Trackers& all() const { return trackers_; }
 
-    // Whether the host has sent no heartbeat for longer than one that is well ever does.
+    // Whether the last answered heartbeat of the host is older than `silent_after()`, which a healthy host never
+    // exceeds.
     bool is_silent(const HostTracker& host, Timestamp now) const;
-    // Seconds without a heartbeat after which a host counts as silent.
+    // Time without an answered heartbeat after which a host counts as silent, in seconds.
     double silent_after() const { return kSilentHeartbeats * settings_.heartbeatIntervalS; }
 
   private:
-    // Heartbeat intervals: they vary by a quarter (PROTOCOL, "Workers -> controller nodes"), and one may be late.
+    // In heartbeat intervals. Workers vary the interval by a quarter (PROTOCOL, "Workers -> controller nodes"), and one
+    // heartbeat may be late.
     static constexpr double kSilentHeartbeats = 1.6;
 
     const config::Settings& settings_;
--- a/src/workers/host_tracker.cpp
+++ b/src/workers/host_tracker.cpp
@@ -14,11 +14,12 @@
         preemptionAtS = nowS + *heartbeat.preemptionNoticeS;
     else
         preemptionAtS.reset();
-    take_tasks(heartbeat, nowS);
+    update_tasks(heartbeat, nowS);
 }
 
-// A host that has our answer stays here, and its next message is numbered next. One that has not tries the other
-// controllers first. Heartbeats that keep arriving must not hide that no answer takes effect.
+// A host that receives our response sends its next heartbeat here, with the next sequence number. One that does not
+// tries the other controllers first. Without this check, heartbeats that keep arriving would hide that no response
+// takes effect.
 void HostTracker::count_missed_answers(const wire::Heartbeat& heartbeat, double nowS) {
     const bool confirms = heartbeat.fencingToken > seenToken && heartbeat.fencingToken == leaderToken;
     const bool sameEpoch = heartbeat.agentEpoch == agentEpoch;
@@ -28,13 +29,13 @@
         unreachableSinceS = nowS;
 }
 
-void HostTracker::take_tasks(const wire::Heartbeat& heartbeat, double nowS) {
+void HostTracker::update_tasks(const wire::Heartbeat& heartbeat, double nowS) {
     std::map<TaskKey, ObservedTask> listed;
     for (const auto& task : heartbeat.tasks) {
         const TaskKey key{task.job, task.index};
-        auto other = listed.find(key);
-        // Two attempts of one task can be listed: the later one counts, the earlier is to be removed once it is gone.
-        if (other != listed.end() && other->second.attempt >= task.attempt) continue;
+        auto otherAttempt = listed.find(key);
+        // Two attempts of one task can be listed. The later one counts; the earlier one is removed once it has ended.
+        if (otherAttempt != listed.end() && otherAttempt->second.attempt >= task.attempt) continue;
         ObservedTask observed{task.attempt, task.phase, task.cause, task.checkpointed, nowS};
         auto before = tasks.find(key);
         if (before != tasks.end() && before->second.attempt == task.attempt && before->second.phase == task.phase)
@@ -48,7 +49,7 @@
 }
 
 void HostTracker::begin_leadership(std::uint64_t nextToken, double nowS) {
-    if (leaderToken == nextToken) return;  // the cached state was read again: the commands under way are the same
+    if (leaderToken == nextToken) return;  // the cached state was only reloaded; the recorded commands still apply
     leaderToken = nextToken;
     unconfirmedS = nowS;
     lease.begin(nowS);
--- a/src/workers/host_tracker.hpp
+++ b/src/workers/host_tracker.hpp
@@ -1,8 +1,8 @@
-// What a leader knows of one of its hosts beyond the state service: the newest heartbeat, and which commands may still
-// be under way.
+// What a leader knows about one of its hosts in addition to the state service: the newest status, and the commands that
+// may still be in flight.
 //
-// Plain data, owned by HostTable and changed by the components that use it. Times are steady, in seconds, and passed
-// in. Single-threaded, free of I/O.
+// Plain data, owned by HostTable and changed by the components that use it. Times are seconds on the steady clock and
+// are passed in. Single-threaded, free of I/O.
 #pragma once
 
 #include <map>
@@ -16,31 +16,31 @@
 
 namespace wellstair::workers {
 
-// A steady time in seconds that lies before every event.
+// Seconds on the steady clock, earlier than any event.
 inline constexpr double kNeverS = -1e9;
-// Answers in a row that have not reached a host, from which on it counts as unreachable.
+// Consecutive heartbeat responses that did not reach a host, from which on it counts as unreachable.
 inline constexpr int kMissedAnswersUntilUnreachable = 2;
 
-using TaskKey = std::pair<std::string, std::uint32_t>;  // job, index
+using TaskKey = std::pair<std::string, std::uint32_t>;  // job id, task index
 
-// A task as the newest heartbeat lists it.
+// A task as listed in the newest status.
 struct ObservedTask {
     std::uint32_t attempt = 0;
     wire::TaskPhase phase = wire::TaskPhase::pulling;
-    wire::Cause cause = wire::Cause::none;  // of its end
+    wire::Cause cause = wire::Cause::none;  // why the task has ended
     bool checkpointed = false;
     double sinceS = 0;  // when this phase was first reported
 };
 
 // A start command that was sent.
 struct SentStart {
-    std::uint32_t attempt = 0;           // 0: nothing is noted yet
-    std::uint64_t agentEpoch = 0;        // in which it was first sent
-    std::uint64_t answeredSequence = 0;  // the last heartbeat that was answered when it was sent
-    double commandedS = kNeverS;         // the last time it was sent straight to the host
-    bool seen = false;                   // some heartbeat has listed it
-    int inFlight = 0;                    // commands sent straight to the host whose reply is outstanding
-    std::uint64_t unanswered = 0;        // highest fencing token of one that got no reply: it may execute minutes later
+    std::uint32_t attempt = 0;           // 0: no start is recorded yet
+    std::uint64_t agentEpoch = 0;        // the worker's agent epoch when the start was first sent
+    std::uint64_t answeredSequence = 0;  // sequence number of the last answered heartbeat when the start was sent
+    double commandedS = kNeverS;         // when it was last sent directly, that is, not in a heartbeat response
+    bool seen = false;                   // a status has listed the task
+    int inFlight = 0;                    // direct requests that are still outstanding
+    std::uint64_t unanswered = 0;  // highest fencing token of a direct request without reply: may execute minutes later
 };
 
 // A stop command that was sent.
@@ -49,57 +49,60 @@
     double sentS = kNeverS;
 };
 
-// How a host's status arrived: in a heartbeat that the worker sent itself, or in the reply to a command. Only the first
-// is answered, and only its answer renews the worker's lease.
+// How a status of a host arrived: in a heartbeat sent by the worker, or in the reply to a command. Only a heartbeat is
+// answered, so only a heartbeat can renew the worker's lease.
 enum class StatusSource { heartbeat, command_reply };
 
+// The state of one host as seen by its leader.
 struct HostTracker {
     state::StateMachine<state::HostState, state::HostTraits> state{state::HostState::acquiring};
 
     // --- the newest status, from either source
     std::uint64_t agentEpoch = 0, sequence = 0;
-    std::uint64_t seenToken = 0;            // the highest fencing token that the host had seen by then
-    std::string address;                    // where it takes commands
-    std::optional<double> preemptionAtS;    // when the cloud takes the host, if it has given notice
-    std::map<TaskKey, ObservedTask> tasks;  // the latest attempt of each
+    std::uint64_t seenToken = 0;            // highest fencing token that the host had seen when it sent the status
+    std::string address;                    // "ip:port" at which the worker accepts commands
+    std::optional<double> preemptionAtS;    // when the cloud reclaims the host, if it has given notice
+    std::map<TaskKey, ObservedTask> tasks;  // the latest attempt of each task
 
     // --- the leadership
-    std::uint64_t leaderToken = 0;  // fencing token of the leadership that these notes are about
-    double unconfirmedS = kNeverS;  // since when the host has not confirmed that token
+    std::uint64_t leaderToken = 0;  // fencing token of the leadership that this tracker belongs to
+    double unconfirmedS = kNeverS;  // since when that token has been waiting for the host's confirmation
     WorkerLease lease;
-    // A start may still execute late: the host is to be registered anew, and to confirm the higher fencing token.
+    // A start may still execute late. The host must be registered again and confirm the higher fencing token.
     bool needsFencing = false;
-    // Heartbeats in a row that did not follow the last message from here: the host has tried other controllers
-    // meanwhile, as it does when an answer fails to reach it.
+    // Consecutive heartbeats with a gap in the sequence numbers: the host has sent heartbeats to other controllers in
+    // between, as it does when a response does not reach it.
     int missedAnswers = 0;
     double unreachableSinceS = kNeverS;
 
     // --- commands
     std::map<TaskKey, SentStart> starts;
     std::map<TaskKey, SentStop> stops;
-    std::map<TaskKey, double> evictions;  // tasks to be stopped (room for others, host being returned): since when
+    // Tasks to be stopped because they are preempted or the host is being returned, and since when.
+    std::map<TaskKey, double> evictions;
 
     // --- failures
-    int failures = 0;                   // errors in a row
-    std::set<std::string> failedJobs;   // jobs with errors since the last task that completed
-    double quarantineUntilS = kNeverS;  // nothing is placed on the host before
+    int failures = 0;                   // consecutive task errors
+    std::set<std::string> failedJobs;   // jobs with task errors since a task last completed
+    double quarantineUntilS = kNeverS;  // no task is placed on the host before this time
 
-    // Whether the heartbeat is newer than every status so far. Older ones are ignored: their task lists are out of
-    // date.
+    // Whether the heartbeat is newer than every status received so far. Older ones are ignored because their task lists
+    // are out of date.
     bool is_newer(const wire::Heartbeat& heartbeat) const {
         return heartbeat.agentEpoch > agentEpoch ||
                (heartbeat.agentEpoch == agentEpoch && heartbeat.sequence > sequence);
     }
-    // Takes over the contents of a heartbeat that is newer.
+    // Replaces the status by the contents of a newer heartbeat.
     void update(const wire::Heartbeat& heartbeat, StatusSource source, double nowS);
-    // A new leadership: what was noted under the last one proves nothing any more.
+    // Starts a new leadership. The commands recorded under the previous one prove nothing any more and are discarded.
     void begin_leadership(std::uint64_t nextToken, double nowS);
-    // Its heartbeats arrive, but our answers seem not to reach it: nothing is placed on it until one has.
+    // Whether heartbeats of the host arrive but the responses to them appear to be lost. No task is placed on the host
+    // until a response has reached it.
     bool unreachable() const { return missedAnswers >= kMissedAnswersUntilUnreachable; }
 
   private:
     void count_missed_answers(const wire::Heartbeat& heartbeat, double nowS);
-    void take_tasks(const wire::Heartbeat& heartbeat, double nowS);
+    void update_tasks(const wire::Heartbeat& heartbeat, double nowS);
 };
 
 }  // namespace wellstair::workers
--- a/src/workers/worker_lease.cpp
+++ b/src/workers/worker_lease.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The worker's timer may fire a moment late.
+// Allows for the delay with which the worker's own timer may fire.
 constexpr double kTimerSlackS = 0.1;
 
 }  // namespace
@@ -20,12 +20,12 @@
     if (std::pair(agentEpoch, sequence) <= std::pair(agentEpoch_, sequence_)) return false;
     agentEpoch_ = agentEpoch;
     sequence_ = sequence;
-    countedFromS_ = nowS;
+    measuredFromS_ = nowS;
     return true;
 }
 
 void WorkerLease::begin(double nowS) {
-    countedFromS_ = std::max(countedFromS_, nowS);
+    measuredFromS_ = std::max(measuredFromS_, nowS);
 }
 
 bool WorkerLease::expired(double nowS, double leaseS) const {
--- a/src/workers/worker_lease.hpp
+++ b/src/workers/worker_lease.hpp
@@ -1,7 +1,8 @@
-// The lease of a worker as its leader counts it.
+// The leader's view of a worker's lease.
 //
-// A worker counts its lease from when it sent the last heartbeat that was answered with 200. The leader does not know
-// when that was, but the heartbeat arrives after it was sent: counting from the decision to answer can only end later.
+// A worker measures its lease from the time at which it sent the last heartbeat that was answered with 200. The leader
+// does not know that time, but it decides on the answer later. Measured from that decision, the lease can only expire
+// later than on the worker.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +12,37 @@
 
 class WorkerLease {
   public:
-    // Called for every heartbeat that is about to be answered with 200, and for nothing else: an answer that this
-    // refuses must not be given. It refuses heartbeats that are not newer than the last one answered. A worker has one
-    // heartbeat in flight, so it no longer waits for those; and their lease, counted from an earlier sending, is within
-    // the one counted here. What replies to commands have told meanwhile does not matter: a reply may overtake a
-    // heartbeat whose answer the worker still waits for.
+    // Must be called for every heartbeat that is about to be answered with 200, and for nothing else. If it returns
+    // false, the heartbeat must not be answered with 200.
+    //
+    // Rejects heartbeats that are not newer than the last one answered. A worker has one heartbeat in flight, so it no
+    // longer waits for the response to an older one, and a lease measured from that earlier sending ends within the one
+    // recorded here. Replies to commands do not count: a reply may overtake a heartbeat whose response the worker still
+    // waits for.
     bool renew(std::uint64_t agentEpoch, std::uint64_t sequence, double nowS);
 
-    // A leadership begins: the machine is not silent yet, but nothing was answered.
+    // Starts measuring at the beginning of a leadership, before any heartbeat has been answered.
     void begin(double nowS);
 
-    bool begun() const { return countedFromS_ > 0; }
-    double age(double nowS) const { return nowS - countedFromS_; }
-    // Not before the worker's own clock says so, whatever of the drift of the two clocks is possible.
+    // Whether the lease is being measured, that is, `begin` or `renew` has been called.
+    bool begun() const { return measuredFromS_ > 0; }
+    // Seconds since the lease was last renewed.
+    double age(double nowS) const { return nowS - measuredFromS_; }
+    // Whether the lease has expired. Allows for the largest possible drift between the two clocks, so that it never
+    // returns true before the lease has expired on the worker.
     bool expired(double nowS, double leaseS) const;
 
+    // Agent epoch and sequence number of the heartbeat that last renewed the lease.
     std::uint64_t agent_epoch() const { return agentEpoch_; }
     std::uint64_t sequence() const { return sequence_; }
-    // Session, number and age of the heartbeat that it was renewed by, for the log.
+    // Age, agent epoch and sequence number of the last renewal, for log lines.
     std::string describe(double nowS) const;
 
   private:
+    static constexpr double kNotStartedS = -1e9;  // seconds on the steady clock, earlier than any event
+
     std::uint64_t agentEpoch_ = 0, sequence_ = 0;
-    double countedFromS_ = -1e9;
+    double measuredFromS_ = kNotStartedS;
 };
 
 }  // namespace wellstair::workers
