--- a/src/reconciliation/job_history.hpp
+++ b/src/reconciliation/job_history.hpp
@@ -1,6 +1,6 @@
-// What has gone wrong with jobs of late, and for how long each is held back for it.
+// Recent failures of each job, and the back-off that follows from them.
 //
-// Owns the histories. Written by reconciliation as heartbeats show how tasks end; read by scheduling. Single-threaded,
+// Owns the histories. Written by reconciliation as heartbeats show how tasks end, read by scheduling. Single-threaded,
 // free of I/O.
 #pragma once
 
@@ -10,34 +10,37 @@
 
 #include "common/timestamp.hpp"
 #include "state/state_cache.hpp"
+#include "workers/host_tracker.hpp"
 
 namespace wellstair::reconciliation {
 
+// Times are seconds on the steady clock.
 struct JobHistory {
-    std::set<std::string> failedOn;  // hosts on which a task of it has failed
-    int failures = 0;
-    double notBeforeS = -1e9;  // steady time before which none of its tasks is started
-    double lastFailureS = -1e9;
+    std::set<std::string> failedOn;          // hosts on which tasks of the job have failed
+    int failures = 0;                        // failed tasks, or for a service, ends of its replicas in a row
+    double notBeforeS = workers::kNeverS;    // no task of the job is started before this time
+    double lastFailureS = workers::kNeverS;  // last end of a replica; only kept for services
 };
 
 class JobHistories {
   public:
-    // Begins an empty history if there is none.
+    // Returns the job's history; creates an empty one if there is none.
     JobHistory& get_or_create(const std::string& job) { return histories_[job]; }
     void erase(const std::string& job) { histories_.erase(job); }
-    // Whether the job has to wait after failures or refused starts.
+    // Whether the job is in back-off after failures or refused starts.
     bool backing_off(const std::string& job, Timestamp now) const;
 
-    // A replica of the service has been lost.
+    // Records that the service has lost a replica.
     void record_lost_replica(const std::string& service, Timestamp now) { replicaLostAtS_[service] = now.wall; }
-    // Since when the service has had a replica to be started, as time of day: its submission, or the last loss.
+    // Wall-clock time in seconds since which the service has had a replica to start: its submission or the last loss of
+    // a replica, whichever is later.
     double open_since(const state::Job& service) const;
-    // Forgets the losses of jobs that are over.
+    // Removes the recorded losses of services that have ended.
     void forget_ended(state::StateCache& state);
 
   private:
     std::unordered_map<std::string, JobHistory> histories_;
-    std::unordered_map<std::string, double> replicaLostAtS_;  // by service: time of day
+    std::unordered_map<std::string, double> replicaLostAtS_;  // by service: wall-clock time in seconds
 };
 
 }  // namespace wellstair::reconciliation
--- a/src/reconciliation/task_failure_recorder.cpp
+++ b/src/reconciliation/task_failure_recorder.cpp
@@ -16,15 +16,14 @@
 
 namespace {
 
-// Leases for which a host that failed tasks, or a job that failed on several hosts, is held back at most. Neither is
-// known to be at fault for ever: pauses that doubled without limit outlasted their causes by minutes, while the host
-// was free and the job could have run anywhere.
-constexpr double kLongestPauseLeases = 2;
-// Ends of a service's replicas after which each is restarted at once.
+// Upper bound of host quarantine and job back-off, in leases. Unbounded doubling outlasted the cause of the failures by
+// minutes, while the host was free and the job could have run anywhere.
+constexpr double kMaxPauseLeases = 2;
+// Number of replica ends in a row after which a service's replica is still restarted immediately.
 constexpr int kEndsWithoutPause = 3;
-// Hosts on which a job has failed from which on the job is at fault, not the hosts.
+// Number of hosts on which a job has failed, from which on the job rather than the hosts is taken to be the cause.
 constexpr std::size_t kHostsUntilJobAtFault = 3;
-// A job waits for this part of the heartbeat interval, as a divisor, after a host has refused one of its starts.
+// After a refused start, a job waits for the heartbeat interval divided by this.
 constexpr double kRefusalPauseDivisor = 3;
 
 }  // namespace
@@ -54,14 +53,14 @@
 
 void TaskFailureRecorder::record_replica_end(const std::string& service, const std::string& host, Timestamp now) {
     const config::Settings& settings = context_.settings();
-    const double longestPauseS = kLongestPauseLeases * settings.leaseS;
+    const double maxPauseS = kMaxPauseLeases * settings.leaseS;
     JobHistory& history = histories_.get_or_create(service);
-    if (now.steady - history.lastFailureS > longestPauseS) history = {};  // an earlier series of ends is forgotten
+    if (now.steady - history.lastFailureS > maxPauseS) history = {};  // the previous series of ends is over
     history.lastFailureS = now.steady;
     history.failedOn.insert(host);
     if (++history.failures <= kEndsWithoutPause) return;
     const double pauseS = settings.heartbeatIntervalS * std::exp2(history.failures - kEndsWithoutPause - 1);
-    history.notBeforeS = now.steady + std::min(pauseS, longestPauseS);
+    history.notBeforeS = now.steady + std::min(pauseS, maxPauseS);
 }
 
 void TaskFailureRecorder::record_completion(HostTracker& tracker, const std::string& job, bool service) {
@@ -80,22 +79,22 @@
     ++tracker.failures;
     tracker.failedJobs.insert(key.first);
     if (history.failedOn.size() < kHostsUntilJobAtFault) {
-        const double leases = std::min(kLongestPauseLeases, std::exp2(tracker.failures - 1));
+        const double leases = std::min(kMaxPauseLeases, std::exp2(tracker.failures - 1));
         tracker.quarantineUntilS = now.steady + settings.leaseS * leases;
     } else {
         tracker.failedJobs.erase(key.first);
         const bool cleared = tracker.failedJobs.empty();
         if (cleared) tracker.failures = 0;
         if (service) {
-            tracker.quarantineUntilS = now.steady + settings.leaseS;  // avoided for a while all the same
+            tracker.quarantineUntilS = now.steady + settings.leaseS;  // the host is still avoided for one lease
         } else {
             const double pauseS = settings.heartbeatIntervalS * std::exp2(history.failures - 2);
-            history.notBeforeS = now.steady + std::min(pauseS, kLongestPauseLeases * settings.leaseS);
+            history.notBeforeS = now.steady + std::min(pauseS, kMaxPauseLeases * settings.leaseS);
             if (cleared) tracker.quarantineUntilS = kNeverS;
         }
     }
-    spdlog::info("task {}/{} failed on {} ({} in a row there, job failed on {} machines)", key.first, key.second, host,
-                 tracker.failures, history.failedOn.size());
+    spdlog::info("task {}/{} failed on host {}: {} consecutive failures on the host, job has failed on {} hosts",
+                 key.first, key.second, host, tracker.failures, history.failedOn.size());
 }
 
 void TaskFailureRecorder::record_refused_start(const std::string& host, const TaskKey& key, Cause cause,
@@ -103,7 +102,8 @@
     JobHistory& history = histories_.get_or_create(key.first);
     const double pauseS = context_.settings().heartbeatIntervalS / kRefusalPauseDivisor;
     history.notBeforeS = std::max(history.notBeforeS, now.steady + pauseS);
-    spdlog::info("start of {}/{} refused by {}: {}", key.first, key.second, host, static_cast<int>(cause));
+    spdlog::info("host {} refused the start of task {}/{}: cause {}; retrying in {:.1f} s at the earliest", host,
+                 key.first, key.second, static_cast<int>(cause), pauseS);
 }
 
 }  // namespace wellstair::reconciliation
--- a/src/reconciliation/task_reconciler.cpp
+++ b/src/reconciliation/task_reconciler.cpp
@@ -24,23 +24,24 @@
 void log_reachability(const std::string& host, int missedAnswersBefore, const HostTracker& tracker) {
     const bool unreachableBefore = missedAnswersBefore >= workers::kMissedAnswersUntilUnreachable;
     if (!unreachableBefore && tracker.unreachable())
-        spdlog::info("host {} sends heartbeats, but our answers do not reach it (unreachable one way)", host);
-    if (unreachableBefore && !tracker.missedAnswers) spdlog::info("our answers reach host {} again", host);
+        spdlog::info("host {} is unreachable: its heartbeats arrive, but {} responses in a row did not reach it", host,
+                     tracker.missedAnswers);
+    if (unreachableBefore && !tracker.missedAnswers) spdlog::info("host {} receives responses again", host);
 }
 
 void confirm_leadership(const std::string& host, HostTracker& tracker) {
     if (tracker.state == HostState::expired || tracker.state == HostState::silent)
-        spdlog::info("host {} sends heartbeats again", host);
+        spdlog::info("host {} sends heartbeats again; it was silent or its lease had expired", host);
     tracker.state.become(HostState::confirmed);
 }
 
-// What becomes of a task that is proven to be done or gone.
+// The state of a task after its release.
 TaskState released_state(const Job& job, Verdict proven) {
-    // A gang completes together: one task that is done shows it of those, too, whose hosts were lost before they could
-    // report it. Counted as open, they would wait for ever for the rest of a gang that is over.
+    // The tasks of a gang complete together, so one that is done proves it for those whose hosts were lost before they
+    // could report it. If they were open, they would wait forever for a gang that has already ended.
     const bool active = job.state == JobState::active;
     if (job.gang() && job.done > 0 && active) return TaskState::done;
-    if (job.service()) return TaskState::open;  // never done: it starts again elsewhere
+    if (job.service()) return TaskState::open;  // a service has no end: its replica starts again on another host
     return proven == Verdict::done && active ? TaskState::done : TaskState::open;
 }
 
@@ -62,7 +63,7 @@
     HostRecord* host = context_.state().host(heartbeat.host);
     if (!context_.led_here(host)) return;
     HostTracker& tracker = hosts_.track(heartbeat.host);
-    if (!tracker.is_newer(heartbeat)) return;  // held back on the way, or overtaken
+    if (!tracker.is_newer(heartbeat)) return;  // delayed in the network, or overtaken by a newer status
     const ObservedTasks tasksBefore = tracker.tasks;
     const int missedAnswersBefore = tracker.missedAnswers;
     const bool confirmedBefore = tracker.state == HostState::confirmed;
@@ -77,7 +78,7 @@
 
     if (tracker.state == HostState::acquiring || tracker.state == HostState::released)
         tracker.state.become(HostState::led);
-    // The host has seen our fencing token: it refuses every command under an older one from here on.
+    // The host has seen our fencing token and from now on refuses commands that carry an older one.
     const bool confirms = heartbeat.fencingToken == host->fencingToken && source == StatusSource::heartbeat;
     if (confirms && tracker.state != HostState::confirmed) confirm_leadership(heartbeat.host, tracker);
     if (changed || !confirmedBefore) {
@@ -108,8 +109,8 @@
     const Job* job = context_.state().job(key.first);
     if (!job) return;
     host.cache.ready(job->spec->image, job->spec->imageGb, now.wall);
-    spdlog::debug("task {}/{} of {} runs on {}, {:.1f} s after its submission", key.first, key.second, job->spec->team,
-                  host.name, now.wall - static_cast<double>(job->atS));
+    spdlog::debug("task {}/{} of team {} runs on host {}, {:.1f} s after its submission", key.first, key.second,
+                  job->spec->team, host.name, now.wall - static_cast<double>(job->atS));
 }
 
 void TaskReconciler::on_task_change(Job& job, std::uint32_t index, const Task& before, const Task& after) {
@@ -120,7 +121,7 @@
     if (before.host) {
         schedule_.request_plan();
         schedule_.mark_due(*before.host);
-        // A gang that has lost a task stops: its other hosts have something to do.
+        // A gang that has lost a task stops, so the hosts of its other tasks are due as well.
         if (!after.host && job.gang()) schedule_.mark_job_due(job);
     }
     if (after.host) schedule_.mark_due(*after.host);
@@ -140,22 +141,23 @@
 
 bool TaskReconciler::release_tasks_of(HostRecord& host, TransactionBuilder& builder, Timestamp now) {
     HostTracker* tracker = hosts_.find(host.name);
-    // By the cloud's notice, or because this cluster returns it.
+    // Either the cloud has given notice, or this cluster returns the host.
     const bool returning = tracker && (tracker->preemptionAtS || host.leaves()) && !host.gone();
     const std::vector<TaskRef> placed = host.placed;
     for (const TaskRef& ref : placed) {
         if (returning) stop_for_return(ref, *tracker, builder, now);
         const TerminationProof proof = prover_.prove(host, ref);
         if (proof.verdict == Verdict::none) continue;
-        spdlog::debug("task {}/{} on {} is {}: {} (lease {})", ref.job->id, ref.index, host.name,
+        spdlog::debug("releasing task {}/{} on host {} as {}: {} (lease {})", ref.job->id, ref.index, host.name,
                       proof.verdict == Verdict::done ? "done" : "gone", proof.reason,
-                      tracker ? tracker->lease.describe(now.steady) : "not counted here");
+                      tracker ? tracker->lease.describe(now.steady) : "not tracked by this controller");
         if (!builder.release_task(*ref.job, ref.index, released_state(*ref.job, proof.verdict))) return false;
     }
     return true;
 }
 
-// Stopped with time to write a checkpoint, if its job has one; a wide gang stops as a whole.
+// The task is stopped with a grace period for a checkpoint if its job writes any. A gang of several tasks stops as a
+// whole.
 void TaskReconciler::stop_for_return(const TaskRef& ref, HostTracker& tracker, TransactionBuilder& builder,
                                      Timestamp now) {
     Job& job = *ref.job;
@@ -168,8 +170,8 @@
     tracker.evictions.try_emplace({job.id, ref.index}, now.steady);
 }
 
-// The next replica is moved when all others are placed and have had the time to fetch their image. What the hosts of
-// other controllers report is not known here; the time since the start was decided stands for it.
+// A replica may move when all others are placed and have had the time to fetch their images. The statuses of hosts led
+// by other controllers are not known here, so the time since the placement is used instead.
 bool TaskReconciler::may_move_replica(const Job& job, std::uint32_t index, Timestamp now) const {
     if (job.open() > 0) return false;
     const state::StateCache& state = context_.state();
@@ -193,7 +195,7 @@
 
 void TaskReconciler::finish_jobs(TransactionBuilder& builder, bool collectGarbage) {
     for (const auto& [order, job] : context_.state().queue()) {
-        // Tasks of a gang that were lost before the first one was known to be done count as open.
+        // Tasks of a gang that were lost before the first one was known to be done are in the open state.
         const bool gangDone = job->gang() && job->done > 0 && job->placed == 0;
         const bool done = job->state == JobState::active && (job->done == job->spec->taskCount || gangDone);
         const bool aborted = job->state == JobState::cancelled && job->placed == 0;
--- a/src/reconciliation/termination_proof.cpp
+++ b/src/reconciliation/termination_proof.cpp
@@ -26,15 +26,17 @@
 }  // namespace
 
 TerminationProof TerminationProver::prove(const HostRecord& host, const TaskRef& ref) {
-    // The cloud has confirmed it. A record is removed only after that, so a task that was placed without comparing the
-    // shard may name a removed host.
+    // The cloud has confirmed that the machine is gone. The host's record is removed only after that. A task that was
+    // placed without comparing the shard's revision may name a removed host.
     if (host.gone() || host.removed())
-        return context_.responsible(*ref.job) ? gone("the cloud has the machine") : TerminationProof{};
+        return context_.responsible(*ref.job) ? gone("the cloud has confirmed that the machine is gone")
+                                              : TerminationProof{};
     if (!context_.led_here(&host)) return {};
     HostTracker* tracker = hosts_.find(host.name);
     if (!tracker) return {};
     if (tracker->state == HostState::expired) return gone("the lease has expired");
-    if (tracker->state != HostState::confirmed) return {};  // older commands may still reach the host
+    if (tracker->state != HostState::confirmed)
+        return {};  // commands of an earlier leadership may still reach the host
     return prove_by_heartbeats(host, *tracker, ref);
 }
 
@@ -46,11 +48,11 @@
     const bool startSent = start != tracker.starts.end() && start->second.attempt == task.attempt;
     const SentStart* sent = startSent ? &start->second : nullptr;
     if (sent && sent->inFlight > 0) return {};
-    // Commands name the agent epoch: what was sent in an earlier one is refused, however late it arrives.
+    // Commands carry the agent epoch: the worker refuses one of an earlier epoch, however late it arrives.
     if (sent && tracker.agentEpoch > sent->agentEpoch && !tracker.tasks.count(key))
-        return gone("started in an earlier agent epoch");
+        return gone("its start was sent in an earlier agent epoch");
     if (sent && sent->unanswered >= host.fencingToken) {
-        // This start may still execute minutes from now, unless the host confirms a higher fencing token.
+        // The start may still execute minutes later, unless the host confirms a higher fencing token first.
         tracker.needsFencing = true;
         return {};
     }
@@ -58,19 +60,20 @@
     if (observed == tracker.tasks.end() || observed->second.attempt != task.attempt)
         return prove_absent(host, tracker, *ref.job, task, sent);
     if (observed->second.phase != wire::TaskPhase::ended) return {};
-    return observed->second.cause == wire::Cause::done ? done("heartbeat says done") : gone("heartbeat says ended");
+    return observed->second.cause == wire::Cause::done ? done("reported as done") : gone("reported as ended");
 }
 
 TerminationProof TerminationProver::prove_absent(const HostRecord& host, const HostTracker& tracker, const Job& job,
                                                  const Task& task, const SentStart* sent) const {
     if (task.fencingToken != host.fencingToken)
-        return gone("placed under an older fencing token, and absent under this one");
-    const bool stops = must_stop(cancellations_, job, task);
-    if (!sent) return stops || host.leaves() ? gone("never sent") : TerminationProof{};
-    if (sent->seen) return gone("no longer in heartbeats");
-    // Sent with the response to a heartbeat and absent from a newer heartbeat: the worker dropped it then and cannot
-    // execute it late.
-    if (stops && tracker.lease.sequence() > sent->answeredSequence) return gone("absent from a newer heartbeat");
+        return gone("placed under an earlier fencing token, and not reported under the current one");
+    const bool mustStop = must_stop(cancellations_, job, task);
+    if (!sent) return mustStop || host.leaves() ? gone("its start was never sent") : TerminationProof{};
+    if (sent->seen) return gone("no longer reported");
+    // The start was sent in the response to a heartbeat, and a newer heartbeat does not list the task: the worker has
+    // dropped the start and cannot execute it late.
+    if (mustStop && tracker.lease.sequence() > sent->answeredSequence)
+        return gone("not reported in a heartbeat newer than its start");
     return {};
 }
 
--- a/src/reconciliation/termination_proof.hpp
+++ b/src/reconciliation/termination_proof.hpp
@@ -1,10 +1,10 @@
 // Proofs that a placed task is done, or can no longer run on its host.
 //
-// A task is released only by such a proof, since starting it again while it may still run would run it twice. Silence
-// proves nothing before the lease has expired, and a heartbeat proves only what the fencing token and the agent epoch
-// that it carries support.
+// A task is released only with such a proof, because restarting a task that may still run would run it twice. Missing
+// heartbeats prove nothing before the lease has expired, and a heartbeat is evidence only for the fencing token and the
+// agent epoch that it carries.
 //
-// Owns nothing beside references. Single-threaded, free of I/O.
+// Owns only references. Single-threaded, free of I/O.
 #pragma once
 
 #include "leadership/cancellation_registry.hpp"
@@ -16,12 +16,12 @@
 
 struct TerminationProof {
     enum class Verdict {
-        none,  // nothing is proven: the task may run, or may still be started
+        none,  // no proof: the task may be running, or may still be started
         done,  // the task has completed
-        gone,  // the task has not completed, and nothing can start this attempt any more
+        gone,  // the task has not completed, does not run, and this attempt can no longer be started
     };
     Verdict verdict = Verdict::none;
-    const char* reason = "";  // for the log; empty without a verdict
+    const char* reason = "";  // for the log; empty if the verdict is `none`
 };
 
 class TerminationProver {
@@ -30,15 +30,15 @@
                       const leadership::CancellationRegistry& cancellations, workers::HostTable& hosts)
         : context_(context), cancellations_(cancellations), hosts_(hosts) {}
 
-    // What is proven of a task that is placed on the host. If only a higher fencing token can bring the proof, this
-    // asks for one (`HostTracker::needsFencing`).
+    // Returns what is proven about a task placed on the host. If only a higher fencing token can give the proof, sets
+    // `HostTracker::needsFencing` to request one.
     TerminationProof prove(const state::HostRecord& host, const state::TaskRef& ref);
 
   private:
-    // For a host that has confirmed this controller's fencing token.
+    // Requires that the host has confirmed this controller's fencing token.
     TerminationProof prove_by_heartbeats(const state::HostRecord& host, workers::HostTracker& tracker,
                                          const state::TaskRef& ref) const;
-    // For a task that the newest heartbeat does not list. `sent`: its start, or nothing if none was sent.
+    // For a task that the newest status does not list. `sent`: its start command, null if none was sent.
     TerminationProof prove_absent(const state::HostRecord& host, const workers::HostTracker& tracker,
                                   const state::Job& job, const state::Task& task, const workers::SentStart* sent) const;
 
