--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -1,5 +1,6 @@
 #include "controller/core.hpp"
 
+#include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -39,25 +40,25 @@
 
 void Core::reset_state() {
     context_.reset_state(own_layout());
-    context_.state().onTaskChange = [this](Job& j, std::uint32_t i, const Task& b, const Task& a) {
-        reconciler_.on_task_change(j, i, b, a);
-        if (a.host && a.host != b.host) eligibility_.start_seen(a.host->name);
+    context_.state().onTaskChange = [this](Job& job, std::uint32_t index, const Task& before, const Task& after) {
+        reconciler_.on_task_change(job, index, before, after);
+        if (after.host && after.host != before.host) eligibility_.start_seen(after.host->name);
     };
-    // A new fencing token, ours again or somebody else's: until the host confirms it, older commands may still reach
-    // the host.
-    context_.state().onRegistered = [this](HostRecord& h) {
-        if (context_.led_here(&h)) {
-            HostTracker& n = hosts_.track(h.name);
-            n.begin_leadership(h.fencingToken, context_.now().steady);
-            spdlog::debug("leader of host {} under fencing token {} at revision {}", h.name, h.fencingToken,
-                          h.shard->revision);
-            n.address = h.address;
+    // The host has a new fencing token, from this controller or another one. Until the host confirms it, commands under
+    // an older token may still reach the host.
+    context_.state().onRegistered = [this](HostRecord& host) {
+        if (context_.led_here(&host)) {
+            HostTracker& tracker = hosts_.track(host.name);
+            tracker.begin_leadership(host.fencingToken, context_.now().steady);
+            spdlog::debug("now leader of host {}: fencing token {}, shard revision {}", host.name, host.fencingToken,
+                          host.shard->revision);
+            tracker.address = host.address;
         }
-        schedule_.mark_due(h);
+        schedule_.mark_due(host);
         schedule_.request_plan();
     };
-    const auto replanFor = [this](HostRecord& h) {
-        schedule_.mark_due(h);
+    const auto replanFor = [this](HostRecord& host) {
+        schedule_.mark_due(host);
         schedule_.request_replan();
     };
     context_.state().onLeaving = replanFor;
@@ -83,8 +84,8 @@
 }
 
 std::optional<UserResponse> Core::find_submission(const std::string& id) {
-    if (const auto* f = context_.state().final(id))
-        return UserResponse{200, {{"ref", id}, {"phase", f->state == JobState::done ? "done" : "aborted"}}, 0};
+    if (const auto* finalJob = context_.state().final(id))
+        return UserResponse{200, {{"ref", id}, {"phase", finalJob->state == JobState::done ? "done" : "aborted"}}, 0};
     if (const Job* job = context_.state().job(id))
         return UserResponse{
             200, {{"ref", id}, {"phase", phase_name(*job)}, {"done", job->done}, {"running", job->placed}}, 0};
@@ -92,46 +93,55 @@
 }
 
 UserResponse Core::job_status(const std::string& id) {
-    if (auto a = find_submission(id)) return *a;
+    if (auto response = find_submission(id)) return *response;
     return {404, {{"error", "no such job"}}, 0};
 }
 
-std::optional<std::string> Core::infeasibility_reason(const wire::JobSpec& s, bool& undetermined) const {
+std::optional<std::string> Core::infeasibility_reason(const wire::JobSpec& spec, bool& undetermined) const {
+    constexpr double kRoundingTolerance = 1e-9;  // of sums of cores or GPUs
     undetermined = false;
-    const config::Team* team = settings_.team(s.team);
-    if (!team) return "unknown team " + s.team;
-    // All of a gang, and all replicas of a service, run at the same time.
-    const bool whole = s.kind == wire::JobKind::gang || s.service();
-    double tasks = whole ? s.taskCount : 1;
-    if (team->cpusMax > 0 && s.cores * tasks > team->cpusMax + 1e-9)
-        return "more cores than the limit of team " + s.team;
-    if (team->gpusMax > 0 && s.gpus * tasks > team->gpusMax + 1e-9) return "more GPUs than the limit of team " + s.team;
-    if (state::TransactionBuilder::submission_size(s) > state_limits().value_bytes())
-        return "the description is larger than can be stored";
+    const config::Team* team = settings_.team(spec.team);
+    if (!team) return fmt::format("crew: \"{}\" is not a team of this cluster", spec.team);
+    // All tasks of a gang and all replicas of a service run at the same time.
+    const bool concurrent = spec.kind == wire::JobKind::gang || spec.service();
+    double tasks = concurrent ? spec.taskCount : 1;
+    if (team->cpusMax > 0 && spec.cores * tasks > team->cpusMax + kRoundingTolerance)
+        return fmt::format("cores: the job needs {:g} at the same time, but the limit of team {} is {:g}",
+                           spec.cores * tasks, spec.team, team->cpusMax);
+    if (team->gpusMax > 0 && spec.gpus * tasks > team->gpusMax + kRoundingTolerance)
+        return fmt::format("gpus: the job needs {:g} at the same time, but the limit of team {} is {:g}",
+                           spec.gpus * tasks, spec.team, team->gpusMax);
+    if (state::TransactionBuilder::submission_size(spec) > state_limits().value_bytes())
+        return fmt::format("the job description exceeds {} bytes, the most that can be stored",
+                           state_limits().value_bytes());
     if (context_.state().types().empty()) {
         undetermined = true;
         return std::nullopt;
     }
-    std::set<std::string> zones;  // in which a task may run
-    for (const auto& [name, t] : context_.state().types()) {
-        if (s.machineTypes && std::find(s.machineTypes->begin(), s.machineTypes->end(), name) == s.machineTypes->end())
+    std::set<std::string> zones;  // where a task can run
+    for (const auto& [name, type] : context_.state().types()) {
+        if (spec.machineTypes &&
+            std::find(spec.machineTypes->begin(), spec.machineTypes->end(), name) == spec.machineTypes->end())
             continue;
-        if (!placement::Need{s.cores, s.gpus, s.ramGb}.fits({t.cores, t.gpus, t.ramGb})) continue;
-        for (const std::string& zone : t.zones)
-            if (!s.zone || *s.zone == zone) zones.insert(zone);
+        if (!placement::Need{spec.cores, spec.gpus, spec.ramGb}.fits({type.cores, type.gpus, type.ramGb})) continue;
+        for (const std::string& zone : type.zones)
+            if (!spec.zone || *spec.zone == zone) zones.insert(zone);
     }
-    if (zones.empty()) return "a task fits no allowed machine type";
-    // Co-located tasks, or those of one zone, cannot be spread.
-    if (s.spread && whole && s.taskCount > 1 && (s.coLocated || zones.size() < 2))
-        return "at most half of a scattered job's tasks may be in one zone, and it may use no other";
+    if (zones.empty())
+        return fmt::format(
+            "a task with {:g} cores, {:g} GPUs and {:g} GB of RAM fits no machine type and zone that the job allows",
+            spec.cores, spec.gpus, spec.ramGb);
+    // Co-located tasks, and tasks that can run in one zone only, cannot be spread.
+    if (spec.spread && concurrent && spec.taskCount > 1 && (spec.coLocated || zones.size() < 2))
+        return "scatter: at most half of the tasks may run in one zone, but this job can use only one zone";
     return std::nullopt;
 }
 
 std::map<std::string, std::uint64_t> Core::peer_incarnations() const {
     std::map<std::string, std::uint64_t> out;
-    for (const auto& m : settings_.members) {
-        auto it = context_.state().members().find(m.name);
-        out[m.name] = it == context_.state().members().end() ? 0 : it->second.incarnation;
+    for (const auto& member : settings_.members) {
+        auto it = context_.state().members().find(member.name);
+        out[member.name] = it == context_.state().members().end() ? 0 : it->second.incarnation;
     }
     return out;
 }
@@ -144,37 +154,39 @@
     cancellations_.forget_cached();
     for (auto it = hosts_.all().begin(); it != hosts_.all().end();) {
         const std::string& name = it->first;
-        HostTracker& n = it->second;
-        HostRecord* h = context_.state().host(name);
-        if (context_.state_ready() && h && h->gone()) {
+        HostTracker& tracker = it->second;
+        HostRecord* host = context_.state().host(name);
+        if (context_.state_ready() && host && host->gone()) {
             it = hosts_.all().erase(it);
             continue;
         }
-        if (context_.state_ready() && !context_.led_here(h)) {
-            if (n.state != HostState::released) {
-                n.state.become(HostState::released);
+        if (context_.state_ready() && !context_.led_here(host)) {
+            if (tracker.state != HostState::released) {
+                tracker.state.become(HostState::released);
                 spdlog::info("no longer leader of host {}", name);
             }
-            if (n.lease.age(now.steady) > settings_.leaseS) {
+            if (tracker.lease.age(now.steady) > settings_.leaseS) {
                 it = hosts_.all().erase(it);
                 continue;
             }
             ++it;
             continue;
         }
-        if (n.state == HostState::confirmed && hosts_.is_silent(n, now)) {
-            n.state.become(HostState::silent);
-            spdlog::info("host {} is silent: lease {}", name, n.lease.describe(now.steady));
+        if (tracker.state == HostState::confirmed && hosts_.is_silent(tracker, now)) {
+            tracker.state.become(HostState::silent);
+            spdlog::info("host {} is silent: no heartbeat for more than {:.1f} s, lease {}", name,
+                         hosts_.silent_after(), tracker.lease.describe(now.steady));
             changed = true;
             schedule_.request_plan();
         }
-        // Only our own fencing token can renew the lease (the host has confirmed it), and nobody else may use that.
-        if (n.state == HostState::silent && n.lease.expired(now.steady, settings_.leaseS)) {
-            n.state.become(HostState::expired);
+        // The host has confirmed our fencing token, so only this controller can renew its lease.
+        if (tracker.state == HostState::silent && tracker.lease.expired(now.steady, settings_.leaseS)) {
+            tracker.state.become(HostState::expired);
             heartbeatStatistics_.record_lease_expiry();
             spdlog::info(
-                "lease of host {} has expired with {} tasks: lease {}, newest heartbeat {}/{}, fencing token {}", name,
-                h ? h->placed.size() : 0, n.lease.describe(now.steady), n.agentEpoch, n.sequence, n.leaderToken);
+                "lease of host {} has expired with {} tasks placed: lease {}, newest status {}/{}, fencing token {}",
+                name, host ? host->placed.size() : 0, tracker.lease.describe(now.steady), tracker.agentEpoch,
+                tracker.sequence, tracker.leaderToken);
             changed = true;
             schedule_.due_hosts().insert(name);
         }
@@ -192,7 +204,8 @@
     if (limits_.propose_switch(builder)) return builder;
     limits_.split_shards(builder, now);
     failover_.acquire_hosts(builder, now);
-    // Small transactions may be full before the last stage has had its turn: the next round then begins with that.
+    // A small transaction may be full before the last stage runs. The next round then begins one stage later, so that
+    // every stage gets its turn.
     constexpr int kStages = 3;
     for (int i = 0; i < kStages; ++i) {
         const int stage = (firstStage_ + i) % kStages;
@@ -208,10 +221,10 @@
 
 peers::PeerStatus Core::own_peer_status(double storeAgeS, Timestamp now) const {
     peers::PeerStatus peerStatus{settings_.member, context_.incarnation(), storeAgeS, context_.serving(), {}};
-    for (const auto& [name, n] : hosts_.all()) {
-        const HostRecord* h = context_.state().host(name);
-        if (context_.led_here(h) && !eligibility_.eligible(*h, now))
-            peerStatus.unusable.push_back({name, n.unreachable()});
+    for (const auto& [name, tracker] : hosts_.all()) {
+        const HostRecord* host = context_.state().host(name);
+        if (context_.led_here(host) && !eligibility_.eligible(*host, now))
+            peerStatus.unusable.push_back({name, tracker.unreachable()});
     }
     peerStatus.sort();
     return peerStatus;
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -1,9 +1,11 @@
-// Every decision of a controller, free of I/O: heartbeats, requests and the watch come in, transactions, commands and
-// answers go out. Time is passed in, so that kept traces replay on a virtual clock.
+// The decision logic of a controller, free of I/O. Its inputs are heartbeats, user requests and changes watched in the
+// state service; its outputs are transactions, commands and responses. Time is passed in, so that recorded traces can
+// be replayed on a virtual clock.
 //
-// Reconciliation is level-triggered: each round compares what the state service holds with what the heartbeats of the
-// hosts show, and proposes the next transaction. Whatever was lost, late or done by another process shows in the next
-// comparison. Core owns the components and orders them in a round; each component owns its state. Single-threaded.
+// Reconciliation is level-triggered: each round compares the state service with the heartbeats of the hosts and
+// proposes the next transaction. Messages that were lost or late, and changes by other processes, are covered by the
+// next comparison. Core owns the components and orders them within a round; each component owns its state.
+// Single-threaded.
 #pragma once
 
 #include <memory>
@@ -44,27 +46,27 @@
 
 using Tunables = scheduling::TuningOptions;
 
-// The answer to a user's request: HTTP status, body, and seconds after which to retry (0: no such header).
+// The response to a user's request: HTTP status, body, and seconds for the Retry-After header (0: no such header).
 struct UserResponse {
     int status = 200;
     wire::Json body;
     double retryAfterS = 0;
 };
 
-// What a worker's heartbeat is answered with.
+// The response to a worker's heartbeat.
 struct HeartbeatResponse {
     enum Kind {
-        renewed,    // 200: the worker's lease is renewed, and counted here
-        acquiring,  // the host's registration is on its way to the state service: ask again
-        redirect,   // 421: another controller leads it
+        renewed,    // 200: the worker's lease is renewed, and the leader measures it from now
+        acquiring,  // the host is being registered in the state service; the heartbeat has to be handled again
+        redirect,   // 421: another controller leads the host
         refuse,     // 503
     } kind = refuse;
-    std::string leader;       // redirect: whom it should send its heartbeats to
-    std::uint64_t token = 0;  // renewed: the fencing token
-    std::vector<wire::Command> commands;
+    std::string leader;                   // redirect: the controller that leads the host
+    std::uint64_t token = 0;              // renewed: the leader's fencing token
+    std::vector<wire::Command> commands;  // renewed: commands for the host
 };
 
-// Machines of one type and zone, ordinary or spot, to be rented.
+// A request to rent machines of one type in one zone, on-demand or spot.
 struct ScaleOutRequest {
     std::string machineType, zone;
     bool spot = false;
@@ -77,63 +79,70 @@
 
     // --- the cached state
     state::StateCache& state() { return context_.state(); }
-    // The watch lost its place: everything is read again.
+    // Discards the cached state because the watch cannot be resumed; everything is then read again.
     void reset_state();
     void set_state_ready(bool ready) { context_.set_state_ready(ready); }
     bool state_ready() const { return context_.state_ready(); }
-    // 0: this process is not registered.
+    // Revision of this process's registration; 0 if it is not registered.
     std::uint64_t member_revision() const { return context_.member_revision(); }
     void set_availability(state::Availability next, Timestamp now) { context_.set_availability(next, now); }
     state::Availability availability() const { return context_.availability(); }
     std::uint64_t incarnation() const { return context_.incarnation(); }
 
     // --- users
-    // The answer to a repeat of a known submission: the job is final, or open and the cached state is current.
+    // The response to a repeated submission, or nothing if the job is unknown. The cached state must be current unless
+    // the job is final.
     std::optional<UserResponse> find_submission(const std::string& id);
-    // The cached state must be current, unless the job is final.
+    // The response to a status request. The cached state must be current unless the job is final.
     UserResponse job_status(const std::string& id);
-    // Why the job can never run; nothing if it can. `undetermined` when the machine types are not known yet.
+    // Why the job can never run, or nothing if it can. Sets `undetermined` if the machine types are not known yet.
     std::optional<std::string> infeasibility_reason(const wire::JobSpec& spec, bool& undetermined) const;
 
     // --- workers
-    // Answers a worker's heartbeat. The only place that grants an answer of 200, which renews the worker's lease, and
-    // counts that lease from the same moment.
-    HeartbeatResponse handle_heartbeat(const wire::Heartbeat& r, Timestamp now);
-    // The status that a command was answered with: it shows what is on the host and renews no lease.
-    void handle_command_reply(const wire::Heartbeat& r, Timestamp now);
-    std::vector<wire::Command> commands_for(const std::string& host, bool byCommand, Timestamp now);
-    // Commands that should go out now rather than with their hosts' next heartbeats.
+    // Answers a worker's heartbeat. Only this function grants a response of 200, which renews the worker's lease; the
+    // leader measures the lease from the same time.
+    HeartbeatResponse handle_heartbeat(const wire::Heartbeat& heartbeat, Timestamp now);
+    // Applies the status in a worker's reply to commands. It does not renew the lease.
+    void handle_command_reply(const wire::Heartbeat& status, Timestamp now);
+    // The commands for the host: acknowledgements, stops and starts, in this order. `direct`: they are to be sent to
+    // the host's own address rather than in the response to its heartbeat.
+    std::vector<wire::Command> commands_for(const std::string& host, bool direct, Timestamp now);
+    // The commands that should be sent to hosts directly now, rather than in the response to their next heartbeat.
     std::vector<std::pair<std::string, std::vector<wire::Command>>> commands_due(Timestamp now);
+    // Records commands that are about to be sent to the host directly.
     void on_commands_sent(const std::string& host, const std::vector<wire::Command>& commands, Timestamp now);
+    // Records the outcome of commands sent directly. `answered`: false if they may still be executed later.
     void on_commands_answered(const std::string& host, const std::vector<wire::Command>& commands, bool answered,
                               std::uint64_t fencingToken);
     HeartbeatStatistics& heartbeat_statistics() { return heartbeatStatistics_; }
-    // Asks the next round to register the host here.
-    void request_acquisition(const wire::Heartbeat& r) { failover_.request_acquisition(r); }
+    // Requests that the next round register the host with this controller as its leader.
+    void request_acquisition(const wire::Heartbeat& heartbeat) { failover_.request_acquisition(heartbeat); }
+    // Returns null if the host is not tracked.
     workers::HostTracker* tracker(const std::string& host) { return hosts_.find(host); }
 
     // --- rounds
     // The next transaction of this controller, empty if there is nothing to do.
     state::TransactionBuilder round(Timestamp now);
-    // Finds hosts that have become silent and leases that have expired. Returns whether there are any.
+    // Detects hosts that have become silent and leases that have expired. Returns whether there are any.
     bool advance_time(Timestamp now);
     bool round_due() const { return schedule_.round_due(); }
     void request_round() { schedule_.request_round(); }
-    // A transaction was not applied: everything is proposed again.
+    // Requests a round that proposes everything again, after a transaction was not applied.
     void request_replan() { schedule_.request_replan(); }
     state::TransactionBuilder new_transaction();
-    // What transactions keep to: the present limits of the state service, or the lower of these and the announced ones.
+    // The limits that transactions obey: the current limits of the state service, or the lower of these and the
+    // announced ones.
     config::StateLimits state_limits() const { return limits_.limits(); }
-    // The state service refused a transaction that wrote these keys as malformed.
+    // Handles a transaction that wrote these keys and was rejected by the state service as malformed.
     void handle_rejected_transaction(const std::vector<std::string>& keys, Timestamp now) {
         limits_.handle_rejected_transaction(keys, now);
     }
-    // What a registration under this process's lease says.
+    // The contents of this process's registration.
     state::MemberData member_data() const { return limits_.member_data(); }
-    // The layout of the stored keys that this process's settings lead to.
+    // The layout of the stored keys that follows from this process's settings.
     state::LayoutRecord own_layout() const { return limits_.own_layout(); }
 
-    // --- cloud (the holder of the role)
+    // --- cloud (only for the holder of the cloud role)
     bool holds_cloud_role() const { return cloudRole_.held_here(); }
     bool may_take_cloud_role() const { return cloudRole_.may_acquire(); }
     bool take_cloud_role(state::TransactionBuilder& builder, std::uint64_t leaseId) const {
@@ -141,11 +150,15 @@
     }
     bool may_call_cloud() const { return cloudRole_.may_call_cloud(); }
     void set_machines(std::vector<wire::Machine> machines, Timestamp now);
-    // Finds what lacks room; once for a series of scale-out requests.
+    // Determines the unmet demand and the idle hosts. Called once before a series of `scale_out_requests`.
     void plan_scale_out(Timestamp now);
+    // The machines to rent for the unmet demand.
     std::vector<ScaleOutRequest> scale_out_requests(Timestamp now);
-    void record_rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now);
-    void record_refused(const ScaleOutRequest& order, Timestamp now);
+    // Records the hosts that the cloud has granted. Fewer than requested count as a refusal of the rest.
+    void record_rented(const ScaleOutRequest& request, const std::vector<std::string>& hosts, Timestamp now);
+    // Records a refusal: no more machines of this type, zone and price class are requested for one lease.
+    void record_refused(const ScaleOutRequest& request, Timestamp now);
+    // The hosts to be returned to the cloud now.
     std::vector<std::string> scale_in_due(Timestamp now) const { return scaleIn_.due(now); }
     void mark_gone(state::TransactionBuilder& builder, const std::vector<std::string>& hosts, Timestamp now) {
         scaleIn_.mark_gone(builder, hosts, now);
@@ -155,22 +168,26 @@
     void set_peer_status(const peers::PeerStatus& peerStatus, Timestamp now) { peers_.receive(peerStatus, now); }
     peers::PeerStatus own_peer_status(double storeAgeS, Timestamp now) const;
     bool peer_has_state_service(Timestamp now) const { return peers_.any_has_state_service(now); }
-    // All cancellations that are confirmed, as far as this controller knows.
+    // The ids of all jobs whose cancellation is known here to be confirmed.
     std::vector<std::string> cancellations() const { return cancellations_.all(); }
     void record_cancellations(const std::vector<std::string>& ids) { cancellations_.record(ids); }
-    // The incarnation of each other controller by the last read, 0 for one that is not registered.
+    // The incarnation of each controller of the settings in the cached state; 0 for one that is not registered.
     std::map<std::string, std::uint64_t> peer_incarnations() const;
     bool peer_heard(Timestamp now) const { return peers_.any_heard(now); }
 
+    // The phase of the job in responses to users.
     static const char* phase_name(const state::Job& job);
 
   private:
-    // Whether a heartbeat of a host led here may be answered with 200; then the lease is counted from now.
-    bool renew_lease(const wire::Heartbeat& r, Timestamp now);
-    bool in_sync(const state::HostRecord& h, const workers::HostTracker& n) const;
-    void log_start(const state::HostRecord& h, const wire::Command& start, const char* sentBy, Timestamp now) const;
-    void add_blind_stops(const state::HostRecord& h, const workers::HostTracker& n,
-                         std::vector<wire::Command>& all) const;
+    // Renews the lease of a host led by this controller. Returns false if the heartbeat is stale; it must then not be
+    // answered with 200.
+    bool renew_lease(const wire::Heartbeat& heartbeat, Timestamp now);
+    // Whether the host reports exactly the tasks placed on it and none of them has to stop.
+    bool in_sync(const state::HostRecord& host, const workers::HostTracker& tracker) const;
+    void log_start(const state::HostRecord& host, const wire::Command& start, const char* sentBy, Timestamp now) const;
+    // Adds stops for cancelled tasks whose start was sent but which no status has listed.
+    void add_stops_for_unseen_tasks(const state::HostRecord& host, const workers::HostTracker& tracker,
+                                    std::vector<wire::Command>& commands) const;
 
     const config::Settings& settings_;
     Tunables tunables_;
@@ -196,17 +213,17 @@
     reconciliation::TaskReconciler reconciler_;
 
     HeartbeatStatistics heartbeatStatistics_;
-    int firstStage_ = 0;  // of a round: rotates while transactions are full
+    int firstStage_ = 0;  // the stage that begins the next round; rotates while transactions are full
     struct PendingHost {
-        ScaleOutRequest what;
+        ScaleOutRequest request;
         double sinceS;
     };
-    std::map<std::string, PendingHost> pendingHosts_;
+    std::map<std::string, PendingHost> pendingHosts_;  // rented hosts that have not registered yet, by name
     struct Backoff {
-        double untilS = -1e9;
+        double untilS = workers::kNeverS;
     };
-    std::map<std::string, Backoff> backoffs_;
-    std::vector<std::pair<wire::JobSpec, std::uint32_t>> unmetDemand_;  // tasks without room: what they need, how many
+    std::map<std::string, Backoff> backoffs_;                           // after refusals, by offer key
+    std::vector<std::pair<wire::JobSpec, std::uint32_t>> unmetDemand_;  // tasks without room: their needs and number
 };
 
 }  // namespace wellstair::controller
--- a/src/controller/heartbeat_statistics.hpp
+++ b/src/controller/heartbeat_statistics.hpp
@@ -1,4 +1,4 @@
-// Counts what became of workers' heartbeats, and how close renewals come to the end of the lease.
+// Counts answered and rejected heartbeats and expired leases, and measures how much of a lease passes between renewals.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -11,25 +11,26 @@
   public:
     HeartbeatStatistics();
 
-    // An answer that renews a lease. `leaseShare`: what part of the lease had passed since the last one.
+    // Records a response that renews a lease. `leaseShare`: fraction of the lease that had passed since the previous
+    // renewal. `overtaken`: a newer status had already arrived in the reply to a command.
     void record_renewal(double leaseShare, bool overtaken);
-    void record_stale_heartbeat() { ++refusedAsOlder_; }
-    void record_lease_expiry() { ++leasesEnded_; }
-    // A machine reports in a session whose lease was counted as ended. Beside heartbeats that were held back on the
-    // way, this shows a lease that was counted too short.
-    void record_return_after_expiry() { ++backInEndedSession_; }
-
-    bool empty() const { return answered_ + refusedAsOlder_ + leasesEnded_ == 0; }
-    // One line for the log; the counts begin anew.
+    void record_stale_heartbeat() { ++staleHeartbeats_; }
+    void record_lease_expiry() { ++expiredLeases_; }
+    // Records a heartbeat in an agent epoch whose lease was taken to have expired. Apart from heartbeats that were
+    // delayed in the network, this indicates that the leader measured the lease too short.
+    void record_return_after_expiry() { ++returnsAfterExpiry_; }
+
+    bool empty() const { return renewals_ + staleHeartbeats_ + expiredLeases_ == 0; }
+    // Returns the counts as one log line and resets them.
     std::string take_summary();
 
   private:
-    // The upper bound of the bin in which this quantile lies, as a share of the lease.
-    double quantile(double q) const;
+    // Upper bound of the histogram bin that contains the quantile, as a fraction of the lease.
+    double quantile(double probability) const;
 
     using Axis = boost::histogram::axis::regular<>;
     boost::histogram::histogram<std::tuple<Axis>> leaseShares_;
-    std::uint64_t answered_ = 0, overtaken_ = 0, refusedAsOlder_ = 0, leasesEnded_ = 0, backInEndedSession_ = 0;
+    std::uint64_t renewals_ = 0, overtaken_ = 0, staleHeartbeats_ = 0, expiredLeases_ = 0, returnsAfterExpiry_ = 0;
 };
 
 }  // namespace wellstair::controller
--- a/src/controller/heartbeats.cpp
+++ b/src/controller/heartbeats.cpp
@@ -1,4 +1,4 @@
-// Answers to workers' heartbeats. An answer of 200 renews the worker's lease: here it is granted, and counted.
+// Responses to workers' heartbeats. A response of 200 renews the worker's lease; it is granted and recorded here.
 #include <spdlog/spdlog.h>
 
 #include "controller/core.hpp"
@@ -8,50 +8,53 @@
 using state::HostState;
 using workers::HostTracker;
 
-HeartbeatResponse Core::handle_heartbeat(const wire::Heartbeat& r, Timestamp now) {
+HeartbeatResponse Core::handle_heartbeat(const wire::Heartbeat& heartbeat, Timestamp now) {
     using Decision = failover::Admission::Decision;
-    const failover::Admission admission = failover_.admit(r, now);
-    HeartbeatResponse answer;
+    const failover::Admission admission = failover_.admit(heartbeat, now);
+    HeartbeatResponse response;
     if (admission.decision == Decision::redirect) {
-        answer.kind = HeartbeatResponse::redirect;
-        answer.leader = admission.leader;
+        response.kind = HeartbeatResponse::redirect;
+        response.leader = admission.leader;
     } else if (admission.decision == Decision::acquire) {
-        answer.kind = HeartbeatResponse::acquiring;
-        failover_.request_acquisition(r);
-    } else if (admission.decision == Decision::accept && renew_lease(r, now)) {
-        reconciler_.apply_status(r, workers::StatusSource::heartbeat, now);
-        answer.kind = HeartbeatResponse::renewed;
-        answer.token = context_.state().host(r.host)->fencingToken;
-        answer.commands = commands_for(r.host, false, now);
+        response.kind = HeartbeatResponse::acquiring;
+        failover_.request_acquisition(heartbeat);
+    } else if (admission.decision == Decision::accept && renew_lease(heartbeat, now)) {
+        reconciler_.apply_status(heartbeat, workers::StatusSource::heartbeat, now);
+        response.kind = HeartbeatResponse::renewed;
+        response.token = context_.state().host(heartbeat.host)->fencingToken;
+        response.commands = commands_for(heartbeat.host, false, now);
     }
-    return answer;
+    return response;
 }
 
-bool Core::renew_lease(const wire::Heartbeat& r, Timestamp now) {
-    HostTracker& n = hosts_.track(r.host);
-    const bool countedAsEnded = n.state == HostState::expired && r.agentEpoch == n.lease.agent_epoch();
-    const workers::WorkerLease before = n.lease;
-    if (!n.lease.renew(r.agentEpoch, r.sequence, now.steady)) {
+bool Core::renew_lease(const wire::Heartbeat& heartbeat, Timestamp now) {
+    HostTracker& tracker = hosts_.track(heartbeat.host);
+    const bool takenAsExpired =
+        tracker.state == HostState::expired && heartbeat.agentEpoch == tracker.lease.agent_epoch();
+    const workers::WorkerLease leaseBefore = tracker.lease;
+    if (!tracker.lease.renew(heartbeat.agentEpoch, heartbeat.sequence, now.steady)) {
         heartbeatStatistics_.record_stale_heartbeat();
-        spdlog::debug("heartbeat {}/{} of {} is rejected as stale: lease {}", r.agentEpoch, r.sequence, r.host,
-                      before.describe(now.steady));
+        spdlog::debug("heartbeat {}/{} of host {} rejected as stale: lease {}", heartbeat.agentEpoch,
+                      heartbeat.sequence, heartbeat.host, leaseBefore.describe(now.steady));
         return false;
     }
-    const bool overtaken = !n.is_newer(r);
-    heartbeatStatistics_.record_renewal(before.age(now.steady) / settings_.leaseS, overtaken);
-    if (countedAsEnded) {
+    const bool overtaken = !tracker.is_newer(heartbeat);
+    heartbeatStatistics_.record_renewal(leaseBefore.age(now.steady) / settings_.leaseS, overtaken);
+    if (takenAsExpired) {
         heartbeatStatistics_.record_return_after_expiry();
-        spdlog::warn("host {} sends heartbeats in an agent epoch whose lease was counted as expired: {}", r.host,
-                     before.describe(now.steady));
+        spdlog::warn(
+            "host {} sends heartbeats in agent epoch {} although its lease was taken to have expired: lease {}",
+            heartbeat.host, heartbeat.agentEpoch, leaseBefore.describe(now.steady));
     }
     if (overtaken)
-        spdlog::debug("heartbeat {}/{} of {} was overtaken by {}/{}: its answer renews the lease, which was {}",
-                      r.agentEpoch, r.sequence, r.host, n.agentEpoch, n.sequence, before.describe(now.steady));
+        spdlog::debug("heartbeat {}/{} of host {} was overtaken by status {}/{}: it renews the lease, which was {}",
+                      heartbeat.agentEpoch, heartbeat.sequence, heartbeat.host, tracker.agentEpoch, tracker.sequence,
+                      leaseBefore.describe(now.steady));
     return true;
 }
 
-void Core::handle_command_reply(const wire::Heartbeat& r, Timestamp now) {
-    reconciler_.apply_status(r, workers::StatusSource::command_reply, now);
+void Core::handle_command_reply(const wire::Heartbeat& status, Timestamp now) {
+    reconciler_.apply_status(status, workers::StatusSource::command_reply, now);
 }
 
 }  // namespace wellstair::controller
--- a/src/controller/scale_out.cpp
+++ b/src/controller/scale_out.cpp
@@ -1,4 +1,4 @@
-// What to rent: what lacks room, and what usually arrives while a machine boots.
+// Which machines to rent: for tasks that have no room, and for those that usually arrive while a machine boots.
 #include <algorithm>
 #include <cmath>
 
@@ -13,61 +13,73 @@
 
 namespace {
 
-std::string offer_key(const ScaleOutRequest& o) {
-    return o.machineType + "/" + o.zone + (o.spot ? "/spot" : "/ordinary");
+// The time over which arrivals are averaged to size the headroom, in leases.
+constexpr double kArrivalWindowLeases = 4;
+// A rented host that has not registered after a multiple of its boot time and a margin no longer counts as pending.
+constexpr double kPendingBootTimes = 4, kPendingMarginS = 30;
+constexpr double kUnknownBootS = 60;  // boot time of a machine type that is not known
+// Upper bound of the machines requested at a time: the larger of a fixed number, which a few calls bring, and a
+// fraction of the existing hosts, given by its divisor.
+constexpr std::size_t kMinScaleOutBatch = 20, kScaleOutBatchDivisor = 16;
+constexpr std::uint32_t kMaxMachinesPerRequest = 50;  // of one type and zone
+
+std::string offer_key(const ScaleOutRequest& offer) {
+    return offer.machineType + "/" + offer.zone + (offer.spot ? "/spot" : "/ordinary");
 }
 
 }  // namespace
 
 void Core::set_machines(std::vector<wire::Machine> machines, Timestamp) {
-    for (const auto& m : machines) {
-        auto it = pendingHosts_.find(m.name);
-        if (it != pendingHosts_.end() && m.phase == "failed") pendingHosts_.erase(it);
+    for (const auto& machine : machines) {
+        auto it = pendingHosts_.find(machine.name);
+        if (it != pendingHosts_.end() && machine.phase == "failed") pendingHosts_.erase(it);
     }
     scaleIn_.set_machines(std::move(machines));
 }
 
-void Core::record_rented(const ScaleOutRequest& order, const std::vector<std::string>& hosts, Timestamp now) {
-    for (const auto& h : hosts) pendingHosts_[h] = {order, now.steady};
-    if (!hosts.empty()) backoffs_.erase(offer_key(order));
-    if (hosts.size() < order.number) record_refused(order, now);
+void Core::record_rented(const ScaleOutRequest& request, const std::vector<std::string>& hosts, Timestamp now) {
+    for (const auto& host : hosts) pendingHosts_[host] = {request, now.steady};
+    if (!hosts.empty()) backoffs_.erase(offer_key(request));
+    if (hosts.size() < request.number) record_refused(request, now);
 }
 
-void Core::record_refused(const ScaleOutRequest& order, Timestamp now) {
-    Backoff& r = backoffs_[offer_key(order)];
-    r.untilS = now.steady + settings_.leaseS;
+void Core::record_refused(const ScaleOutRequest& request, Timestamp now) {
+    Backoff& backoff = backoffs_[offer_key(request)];
+    backoff.untilS = now.steady + settings_.leaseS;
 }
 
-// What lacks room, and which machines nobody needs.
 void Core::plan_scale_out(Timestamp now) {
     context_.set_now(now);
     unmetDemand_.clear();
     if (!holds_cloud_role() || context_.state().types().empty()) return;
     scheduling::Plan plan = planner_.make_plan(now, scheduling::PlanPurpose::estimate_demand);
-    for (const auto& u : plan.unmet) unmetDemand_.emplace_back(*u.job->spec, u.tasks);
-    // Ahead of demand: what usually arrives while a machine boots.
-    placement::Planner ahead(now.wall, std::move(plan.machines), placementModel_.weights(plan.records.size()));
+    for (const auto& unmet : plan.unmet) unmetDemand_.emplace_back(*unmet.job->spec, unmet.tasks);
+    // Headroom: room for the tasks of each job class that usually arrive while a machine boots.
+    placement::Planner headroomPlanner(now.wall, std::move(plan.machines),
+                                       placementModel_.weights(plan.records.size()));
     for (const auto& [name, jobClass] : demand_.by_class()) {
-        double window = 4 * settings_.leaseS;
+        double windowS = kArrivalWindowLeases * settings_.leaseS;
         double tasks = 0;
-        for (const auto& [at, n] : jobClass.arrivals) tasks += n;
-        double boot = 0;
-        for (const auto& [typeName, t] : context_.state().types())
-            if (need_of(jobClass.last).fits({t.cores, t.gpus, t.ramGb})) boot = std::max(boot, t.startupS);
-        auto target = static_cast<std::uint32_t>(std::ceil(tunables_.headroom * tasks * boot / window));
+        for (const auto& [at, arrivedTasks] : jobClass.arrivals) tasks += arrivedTasks;
+        double bootS = 0;
+        for (const auto& [typeName, type] : context_.state().types())
+            if (need_of(jobClass.last).fits({type.cores, type.gpus, type.ramGb}))
+                bootS = std::max(bootS, type.startupS);
+        auto target = static_cast<std::uint32_t>(std::ceil(tunables_.headroom * tasks * bootS / windowS));
         const config::Team* team = settings_.team(jobClass.last.team);
         if (team && team->gpusMax > 0 && jobClass.last.gpus > 0)
             target = std::min(target, static_cast<std::uint32_t>(team->gpusMax / jobClass.last.gpus));
         if (!target) continue;
-        auto slots = ahead.place_batch(placementModel_.probe(jobClass.last, target), true);
+        auto slots = headroomPlanner.place_batch(placementModel_.probe(jobClass.last, target), true);
         if (slots.size() < target)
             unmetDemand_.emplace_back(jobClass.last, target - static_cast<std::uint32_t>(slots.size()));
     }
-    // Machines that neither work nor headroom needs are surplus; the clock of each starts when it becomes so.
+    // Hosts that neither tasks nor headroom need are idle. The time is kept since when each has been idle.
     std::map<std::string, double> idle;
     for (std::size_t i = 0; i < plan.records.size(); ++i) {
         const std::string& name = plan.records[i]->name;
-        if (ahead.machines()[i].holds.empty()) idle[name] = idleHosts_.count(name) ? idleHosts_[name] : now.steady;
+        if (headroomPlanner.machines()[i].holds.empty())
+            idle[name] = idleHosts_.count(name) ? idleHosts_[name] : now.steady;
     }
     idleHosts_ = std::move(idle);
 }
@@ -75,44 +87,46 @@
 std::vector<ScaleOutRequest> Core::scale_out_requests(Timestamp now) {
     std::vector<ScaleOutRequest> out;
     if (!holds_cloud_role() || context_.state().types().empty()) return out;
-    std::erase_if(pendingHosts_, [&](auto& e) {
-        HostRecord* h = context_.state().host(e.first);
-        const auto* t = context_.state().type(e.second.what.machineType);
-        return (h && (h->registered() || h->leaves())) ||
-               now.steady - e.second.sinceS > 4 * (t ? t->startupS : 60) + 30;
+    std::erase_if(pendingHosts_, [&](auto& entry) {
+        HostRecord* host = context_.state().host(entry.first);
+        const auto* type = context_.state().type(entry.second.request.machineType);
+        return (host && (host->registered() || host->leaves())) ||
+               now.steady - entry.second.sinceS >
+                   kPendingBootTimes * (type ? type->startupS : kUnknownBootS) + kPendingMarginS;
     });
     std::vector<placement::Offer> offers;
-    std::vector<std::uint32_t> pending;
-    std::vector<ScaleOutRequest> kinds;
-    std::map<std::string, std::uint32_t> onTheWay;
-    for (const auto& [name, c] : pendingHosts_) ++onTheWay[offer_key(c.what)];
-    for (const auto& [typeName, t] : context_.state().types())
-        for (const std::string& zone : t.zones)
+    std::vector<std::uint32_t> pending;     // per offer: rented hosts that have not registered yet
+    std::vector<ScaleOutRequest> requests;  // per offer, without a number
+    std::map<std::string, std::uint32_t> pendingByKey;
+    for (const auto& [name, pendingHost] : pendingHosts_) ++pendingByKey[offer_key(pendingHost.request)];
+    for (const auto& [typeName, type] : context_.state().types())
+        for (const std::string& zone : type.zones)
             for (bool spot : {false, true}) {
-                ScaleOutRequest kind{typeName, zone, spot, 0};
-                auto r = backoffs_.find(offer_key(kind));
+                ScaleOutRequest request{typeName, zone, spot, 0};
+                auto backoff = backoffs_.find(offer_key(request));
                 offers.push_back({typeName,
                                   zone,
                                   spot,
-                                  {t.cores, t.gpus, t.ramGb},
-                                  spot ? t.lowPrice : t.rate,
-                                  t.startupS,
-                                  r != backoffs_.end() && now.steady < r->second.untilS});
-                pending.push_back(onTheWay[offer_key(kind)]);
-                kinds.push_back(kind);
+                                  {type.cores, type.gpus, type.ramGb},
+                                  spot ? type.lowPrice : type.rate,
+                                  type.startupS,
+                                  backoff != backoffs_.end() && now.steady < backoff->second.untilS});
+                pending.push_back(pendingByKey[offer_key(request)]);
+                requests.push_back(request);
             }
     std::vector<placement::Want> wants;
-    for (const auto& [s, count] : unmetDemand_) {
-        placement::Want w{need_of(s), count, {}};
-        for (const auto& o : offers) w.allowed.push_back(allows(s, o.machineType, o.zone, o.spot));
-        wants.push_back(std::move(w));
+    for (const auto& [spec, count] : unmetDemand_) {
+        placement::Want want{need_of(spec), count, {}};
+        for (const auto& offer : offers)
+            want.allowed.push_back(allows(spec, offer.machineType, offer.zone, offer.spot));
+        wants.push_back(std::move(want));
     }
-    // In one go, at most what a few calls bring, or a sixteenth of the machines there are.
-    auto most = static_cast<std::uint32_t>(std::max<std::size_t>(20, context_.state().hosts().size() / 16));
-    for (const auto& r : placement::choose_scale_out(offers, wants, pending, most)) {
-        ScaleOutRequest o = kinds[r.offer];
-        o.number = std::min(r.number, 50u);
-        out.push_back(o);
+    auto maxMachines = static_cast<std::uint32_t>(
+        std::max<std::size_t>(kMinScaleOutBatch, context_.state().hosts().size() / kScaleOutBatchDivisor));
+    for (const auto& choice : placement::choose_scale_out(offers, wants, pending, maxMachines)) {
+        ScaleOutRequest request = requests[choice.offer];
+        request.number = std::min(choice.number, kMaxMachinesPerRequest);
+        out.push_back(request);
     }
     return out;
 }
