--- a/src/failover/host_failover.cpp
+++ b/src/failover/host_failover.cpp
@@ -170,7 +170,7 @@
     for (const auto& [name, tracker] : hosts_.all()) {
         HostRecord* host = context_.state().host(name);
         // An unreachable host could not confirm the new token.
-        if (!tracker.needFence || tracker.unreachable() || !context_.leads_host(host)) continue;
+        if (!tracker.needsFencing || tracker.unreachable() || !context_.leads_host(host)) continue;
         if (!builder.acquire(*host, context_.member(), context_.incarnation())) return false;
     }
     return true;
@@ -207,7 +207,7 @@
     for (HostRecord* host : shard.hosts) {
         const HostTracker* tracker = hosts_.find(host->name);
         if (!context_.leads_host(host) || host->returning() || !tracker) continue;
-        if (tracker->state != HostState::confirmed || tracker->needFence || tracker->missedAnswers) continue;
+        if (tracker->state != HostState::confirmed || tracker->needsFencing || tracker->missedAnswers) continue;
         transferred = builder.acquire(*host, member, incarnation) || transferred;
     }
     return transferred;
