--- a/src/autoscaling/scale_in_policy.cpp
+++ b/src/autoscaling/scale_in_policy.cpp
@@ -114,8 +114,8 @@
     // A host that is silent for this long has broken the gangs with tasks on it, and their next attempt waits for proof
     // that these tasks are gone. The cloud's confirmation arrives before the lease expires.
     const bool blocksGang = silentS > hosts_.silent_after() + settings.gangPeerTimeoutS && zoneResponsive &&
-                             std::any_of(host.placed.begin(), host.placed.end(),
-                                         [](const TaskRef& ref) { return ref.job->multi_task_gang(); });
+                            std::any_of(host.placed.begin(), host.placed.end(),
+                                        [](const TaskRef& ref) { return ref.job->multi_task_gang(); });
     const bool holdsCancelled = !isolated && cancellations_.holds_cancelled(host, tracker, now);
     const bool holdsReplica = !isolated && zoneResponsive && tracker.state == HostState::silent &&
                               silentS > kServiceSilentHeartbeats * settings.heartbeatIntervalS &&
@@ -223,7 +223,8 @@
     for (const auto& [name, host] : context_.state().hosts()) {
         if (host->returnState != state::ReturnState::marked) continue;
         // Tasks that still run on the host get time to write checkpoints.
-        const bool checkpointTimeOver = now.wall - host->returnStateAtS > kCheckpointLeases * context_.settings().leaseS;
+        const bool checkpointTimeOver =
+            now.wall - host->returnStateAtS > kCheckpointLeases * context_.settings().leaseS;
         if (host->placed.empty() || checkpointTimeOver) hosts.push_back(name);
         if (hosts.size() == kMaxHostsPerCall) break;
     }
--- a/src/controller/commands.cpp
+++ b/src/controller/commands.cpp
@@ -52,7 +52,8 @@
             bool first = sentStop.attempt != task.attempt;
             if (first) sentStop = {task.attempt, now.steady};
             bool checkpointUseless = cancellations_.cancelled(*ref.job) || ref.job->spec->checkpointIntervalS <= 0;
-            bool graceful = !checkpointUseless && (!ref.job->multi_task_gang() || ref.job->gang_state() != GangState::partial);
+            bool graceful =
+                !checkpointUseless && (!ref.job->multi_task_gang() || ref.job->gang_state() != GangState::partial);
             double gracePeriodS = graceful ? ref.job->spec->checkpointWriteS + settings_.heartbeatIntervalS : 0;
             if (observed->second.phase == wire::TaskPhase::checkpointing && graceful) continue;
             stops.push_back({wire::CommandType::stop, key.first, key.second, task.attempt, gracePeriodS});
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -123,7 +123,8 @@
         if (spec.machineTypes &&
             std::find(spec.machineTypes->begin(), spec.machineTypes->end(), name) == spec.machineTypes->end())
             continue;
-        if (!placement::Resources{spec.cores, spec.gpus, spec.ramGb}.fits({type.cores, type.gpus, type.ramGb})) continue;
+        if (!placement::Resources{spec.cores, spec.gpus, spec.ramGb}.fits({type.cores, type.gpus, type.ramGb}))
+            continue;
         for (const std::string& zone : type.zones)
             if (!spec.zone || *spec.zone == zone) zones.insert(zone);
     }
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -262,7 +262,8 @@
     bool withChunks = has_room(2 + chunks, conditions, kFinishBytes);
     // A job with more chunks than fit into one transaction leaves them to garbage collection, so that the end of the
     // job always fits.
-    bool neverFits = 2 + chunks > rules_.limits.transactionOperations || conditions >= rules_.limits.max_preconditions();
+    bool neverFits =
+        2 + chunks > rules_.limits.transactionOperations || conditions >= rules_.limits.max_preconditions();
     if (!withChunks && !((neverFits || writes() == 0) && has_room(2, 1, kFinishBytes))) return false;
     require(keys::active(job.id), job.activeRevision);
     set(keys::job(job.id), {{"f", to == JobState::done ? "done" : "aborted"}});
--- a/tests/trace_controller_commands.cpp
+++ b/tests/trace_controller_commands.cpp
@@ -77,7 +77,8 @@
     leadership::AvailabilitySignals signals;
     signals.registered = core.member_revision() != 0;
     signals.storeContactAgeS = timeS_ - c.lastAnswerS;
-    signals.cancellationsReadAgeS = timeS_ - std::max(c.lastReadS, c.readBarrier.acknowledged_until(core.peer_incarnations()));
+    signals.cancellationsReadAgeS =
+        timeS_ - std::max(c.lastReadS, c.readBarrier.acknowledged_until(core.peer_incarnations()));
     for (auto& [name, other] : controllers_) {
         if (&other == &c || !other.core) continue;
         signals.hasPeers = true;
