--- a/tests/trace_runner.hpp
+++ b/tests/trace_runner.hpp
@@ -30,17 +30,17 @@
         std::string name;
         config::Settings settings;
         std::unique_ptr<controller::Core> core;
-        wire::Json heldTransaction;                                    // has not reached the state service yet
-        std::map<std::string, std::vector<wire::Command>> unanswered;  // by host: the commands last sent to it
-        bool refused = false;    // the state service refuses it, alone or as it does everybody
-        double lastReadS = 0;    // when it last read the state
-        double lastAnswerS = 0;  // when the state service last answered it anything
+        wire::Json heldTransaction;                                          // has not reached the state service yet
+        std::map<std::string, std::vector<wire::Command>> lastSentCommands;  // by host: the commands last sent to it
+        bool refusedByStore = false;  // the state service refuses it, alone or as it does everybody
+        double lastReadS = 0;         // when it last read the state
+        double lastAnswerS = 0;       // when the state service last answered it anything
         leadership::CancellationReadBarrier readBarrier{1};
     };
     // A command to the whole cluster.
     using ClusterCommand = std::string (TraceRunner::*)(std::istringstream& arguments);
     // A command to one controller that runs.
-    using ControllerCommand = std::string (TraceRunner::*)(Controller& c, std::istringstream& arguments);
+    using ControllerCommand = std::string (TraceRunner::*)(Controller& controller, std::istringstream& arguments);
     static const std::map<std::string, ClusterCommand>& cluster_commands();
     static const std::map<std::string, ControllerCommand>& controller_commands();
 
@@ -53,45 +53,45 @@
     std::string join(std::istringstream& arguments);
 
     // A controller and the state service.
-    std::string read_state(Controller& c, std::istringstream& arguments);
-    std::string refuse(Controller& c, std::istringstream& arguments);
-    std::string serve_no_reads(Controller& c, std::istringstream& arguments);
-    std::string run_round(Controller& c, std::istringstream& arguments);
-    std::string hold_round(Controller& c, std::istringstream& arguments);
-    std::string deliver_held(Controller& c, std::istringstream& arguments);
-    std::string show_team(Controller& c, std::istringstream& arguments);
+    std::string read_state(Controller& controller, std::istringstream& arguments);
+    std::string refuse_store_access(Controller& controller, std::istringstream& arguments);
+    std::string hang_reads(Controller& controller, std::istringstream& arguments);
+    std::string run_round(Controller& controller, std::istringstream& arguments);
+    std::string hold_round(Controller& controller, std::istringstream& arguments);
+    std::string deliver_held(Controller& controller, std::istringstream& arguments);
+    std::string team_cores_in_use(Controller& controller, std::istringstream& arguments);
 
     // A controller and its peers.
-    std::string judge_availability(Controller& c, std::istringstream& arguments);
-    std::string set_availability(Controller& c, std::istringstream& arguments);
-    std::string ask_peers(Controller& c, std::istringstream& arguments);
-    std::string hear_peer_status(Controller& c, std::istringstream& arguments);
-    std::string peer_has_store(Controller& c, std::istringstream& arguments);
+    std::string update_availability(Controller& controller, std::istringstream& arguments);
+    std::string set_availability(Controller& controller, std::istringstream& arguments);
+    std::string request_cancellations_from_peers(Controller& controller, std::istringstream& arguments);
+    std::string receive_peer_status(Controller& controller, std::istringstream& arguments);
+    std::string peer_reaches_store(Controller& controller, std::istringstream& arguments);
 
     // A controller and users.
-    std::string submit(Controller& c, std::istringstream& arguments);
-    std::string cancel(Controller& c, std::istringstream& arguments);
-    std::string poll(Controller& c, std::istringstream& arguments);
+    std::string submit(Controller& controller, std::istringstream& arguments);
+    std::string cancel(Controller& controller, std::istringstream& arguments);
+    std::string poll(Controller& controller, std::istringstream& arguments);
 
     // A controller and workers.
-    std::string handle_heartbeat(Controller& c, std::istringstream& arguments);
-    std::string send_due_commands(Controller& c, std::istringstream& arguments);
-    std::string send_commands(Controller& c, std::istringstream& arguments);
-    std::string lose_reply(Controller& c, std::istringstream& arguments);
-    std::string handle_reply(Controller& c, std::istringstream& arguments);
+    std::string handle_heartbeat(Controller& controller, std::istringstream& arguments);
+    std::string send_due_commands(Controller& controller, std::istringstream& arguments);
+    std::string send_commands(Controller& controller, std::istringstream& arguments);
+    std::string drop_reply(Controller& controller, std::istringstream& arguments);
+    std::string handle_reply(Controller& controller, std::istringstream& arguments);
 
     // A controller and the cloud.
-    std::string confirm_return(Controller& c, std::istringstream& arguments);
-    std::string take_cloud_role(Controller& c, std::istringstream& arguments);
-    std::string hold_cloud_role(Controller& c, std::istringstream& arguments);
-    std::string may_call_cloud(Controller& c, std::istringstream& arguments);
-    std::string has_cloud_role(Controller& c, std::istringstream& arguments);
+    std::string confirm_return(Controller& controller, std::istringstream& arguments);
+    std::string take_cloud_role(Controller& controller, std::istringstream& arguments);
+    std::string hold_cloud_role(Controller& controller, std::istringstream& arguments);
+    std::string may_call_cloud(Controller& controller, std::istringstream& arguments);
+    std::string holds_cloud_role(Controller& controller, std::istringstream& arguments);
 
     Controller& find(const std::string& name);
-    void sync(Controller& c);
-    std::string commit(Controller& c, const state::TransactionBuilder& builder);
+    void sync(Controller& controller);
+    std::string commit(Controller& controller, const state::TransactionBuilder& builder);
     void write_unconditionally(wire::Json operations);
-    void set_refused(bool refused);
+    void set_store_access_refused(bool refused);
     controller::Timestamp now() const { return {timeS_, 1'000'000 + timeS_}; }
     std::int64_t wall_seconds() const { return static_cast<std::int64_t>(now().wall); }
 
