--- a/tests/trace_controller_commands.cpp
+++ b/tests/trace_controller_commands.cpp
@@ -1,4 +1,4 @@
-// The trace runner's commands to one controller.
+// Commands of the trace runner to one controller.
 #include <algorithm>
 #include <set>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double kRoundIntervalS = 0.2;  // rounds come at least this far apart
+constexpr double kRoundIntervalS = 0.2;  // minimum time between rounds
 
 std::string next_word(std::istringstream& arguments) {
     std::string word;
@@ -70,7 +70,7 @@
 
 // --- peers
 
-// As the service judges it, with what the other controllers say of the state service.
+// Derives the availability as the service does, with a fresh status of each running peer.
 std::string TraceRunner::update_availability(Controller& controller, std::istringstream&) {
     controller::Core& core = *controller.core;
     if (!controller.refusedByStore) controller.lastAnswerS = timeS_;
@@ -150,7 +150,7 @@
     return commit(controller, builder);
 }
 
-// Reads up to this moment, as every poll does.
+// Reads the current state first, as the service does for every status request.
 std::string TraceRunner::poll(Controller& controller, std::istringstream& arguments) {
     const std::string id = next_word(arguments);
     sync(controller);
--- a/tests/trace_language.cpp
+++ b/tests/trace_language.cpp
@@ -35,16 +35,16 @@
     if (word == "gang_peer_lost") task.phase = TaskPhase::ended, task.cause = Cause::gang_peer_lost;
 }
 
-// JOB/INDEX#ATTEMPT=PHASE
-wire::TaskStatus parse_task(const KeyValue& word) {
-    const auto hash = word.key.find('#');
-    auto id = wire::parse_task_id(word.key.substr(0, hash));
-    if (!id) throw std::runtime_error("no task " + word.key);
+// Parses JOB/INDEX#ATTEMPT=PHASE.
+wire::TaskStatus parse_task(const KeyValue& pair) {
+    const auto hash = pair.key.find('#');
+    auto id = wire::parse_task_id(pair.key.substr(0, hash));
+    if (!id) throw std::runtime_error("invalid task '" + pair.key + "': expected JOB/INDEX#ATTEMPT=PHASE");
     wire::TaskStatus task;
     task.job = id->job;
     task.index = id->index;
-    task.attempt = static_cast<std::uint32_t>(std::stoul(word.key.substr(hash + 1)));
-    set_phase(task, word.value);
+    task.attempt = static_cast<std::uint32_t>(std::stoul(pair.key.substr(hash + 1)));
+    set_phase(task, pair.value);
     return task;
 }
 
--- a/tests/trace_language.hpp
+++ b/tests/trace_language.hpp
@@ -1,6 +1,6 @@
-// The words of the trace language (tests/traces): jobs, heartbeats, commands and answers as a line of a trace has them.
+// Syntax of the traces (tests/traces): parses the jobs and heartbeats in a line, and formats commands and responses.
 //
-// Owns nothing. Errors: what is not a valid job throws std::runtime_error. Single-threaded test support.
+// Errors: std::runtime_error if a job or a task id is invalid. Single-threaded test support.
 #pragma once
 
 #include <sstream>
@@ -11,14 +11,15 @@
 
 namespace wellstair::test {
 
-// A small batch job of that id; the rest of the line is KEY=VALUE, in the words of the protocol's job.
+// Parses [KEY=VALUE ...], with the keys that a job has on the wire. Keys that are missing are those of a small batch
+// job.
 wire::JobSpec parse_job_line(const std::string& id, std::istringstream& line);
-// HOST AGENT_EPOCH SEQUENCE FENCING_TOKEN [notice=S] [build=MACHINE_TYPE] [hall=ZONE] [j-1/0#1=running ...]
+// Parses HOST AGENT_EPOCH SEQUENCE FENCING_TOKEN [notice=S] [build=MACHINE_TYPE] [hall=ZONE] [j-1/0#1=running ...]
 wire::Heartbeat parse_heartbeat_line(std::istringstream& line);
 
-// "start j-1/0#1, stop j-2/0#1", or "none".
+// Formats commands as "start j-1/0#1, stop j-2/0#1", or "none". A stop with a grace period ends with "saving".
 std::string describe(const std::vector<wire::Command>& commands);
-// Status, phase and counts.
+// Formats the HTTP status and, if the body has them, the phase and the task counts.
 std::string describe(const controller::UserResponse& answer);
 
 }  // namespace wellstair::test
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -1,4 +1,4 @@
-// The trace runner's dispatch, and its commands to the whole cluster.
+// Command dispatch of the trace runner, and its commands to the cluster.
 #include "trace_runner.hpp"
 
 #include <stdexcept>
@@ -15,10 +15,10 @@
     static const std::map<std::string, ClusterCommand> kCommands = {
         {"controllers", &TraceRunner::add_controllers},  // NAME ...
         {"wait", &TraceRunner::wait},                    // SECONDS
-        {"expire", &TraceRunner::expire_member},         // NAME: the state service ends the lease of its member key
-        {"outage", &TraceRunner::begin_outage},          // the state service refuses everybody
-        {"outage-over", &TraceRunner::end_outage},       //
-        {"join", &TraceRunner::join},                    // NAME: a new process of this controller
+        {"expire", &TraceRunner::expire_member},         // NAME: the lease of its member key expires
+        {"outage", &TraceRunner::begin_outage},          // the state service refuses all controllers
+        {"outage-over", &TraceRunner::end_outage},
+        {"join", &TraceRunner::join},  // NAME: starts a new process of the controller
     };
     return kCommands;
 }
@@ -26,28 +26,28 @@
 const std::map<std::string, TraceRunner::ControllerCommand>& TraceRunner::controller_commands() {
     static const std::map<std::string, ControllerCommand> kCommands = {
         {"sync", &TraceRunner::read_state},                          // NAME
-        {"refuse", &TraceRunner::refuse_store_access},               // NAME: the state service refuses it alone
-        {"serve-no-reads", &TraceRunner::hang_reads},                // NAME: it is answered, but its reads hang
+        {"refuse", &TraceRunner::refuse_store_access},               // NAME: the state service refuses only this one
+        {"serve-no-reads", &TraceRunner::hang_reads},                // NAME: gets responses, but its reads hang
         {"round", &TraceRunner::run_round},                          // NAME
-        {"build", &TraceRunner::hold_round},                         // NAME: a round whose transaction is held back
-        {"deliver", &TraceRunner::deliver_held},                     // NAME: the transaction that was held back arrives
-        {"team", &TraceRunner::team_cores_in_use},                   // NAME TEAM: cores in use
+        {"build", &TraceRunner::hold_round},                         // NAME: a round whose transaction is delayed
+        {"deliver", &TraceRunner::deliver_held},                     // NAME: the delayed transaction arrives
+        {"team", &TraceRunner::team_cores_in_use},                   // NAME TEAM
         {"update-availability", &TraceRunner::update_availability},  // NAME
         {"state", &TraceRunner::set_availability},                   // NAME serving|disconnected|isolated
-        {"ask", &TraceRunner::request_cancellations_from_peers},     // NAME [PEER ...]: cancellations, of all or these
-        {"peer-status", &TraceRunner::receive_peer_status},          // NAME PEER SECONDS since the store answered PEER
+        {"ask", &TraceRunner::request_cancellations_from_peers},     // NAME [PEER ...], by default all
+        {"peer-status", &TraceRunner::receive_peer_status},          // NAME PEER SECONDS since the store contact
         {"store-heard", &TraceRunner::peer_reaches_store},           // NAME
         {"submit", &TraceRunner::submit},                            // NAME JOB KEY=VALUE ...
         {"cancel", &TraceRunner::cancel},                            // NAME JOB
         {"poll", &TraceRunner::poll},                                // NAME JOB
         {"heartbeat", &TraceRunner::handle_heartbeat},               // NAME HEARTBEAT
-        {"due", &TraceRunner::send_due_commands},                    // NAME: commands due to any host, no replies yet
+        {"due", &TraceRunner::send_due_commands},                    // NAME: to all hosts, without replies
         {"command", &TraceRunner::send_commands},                    // NAME HOST
-        {"unanswered", &TraceRunner::drop_reply},                    // NAME HOST
-        {"answered", &TraceRunner::handle_reply},                    // NAME HEARTBEAT: the reply to what was sent last
-        {"gone", &TraceRunner::confirm_return},                      // NAME HOST: the cloud confirms its return
+        {"unanswered", &TraceRunner::drop_reply},                    // NAME HOST: no reply to the last commands
+        {"answered", &TraceRunner::handle_reply},                    // NAME HEARTBEAT: reply to the last commands
+        {"gone", &TraceRunner::confirm_return},                      // NAME HOST: its return is confirmed
         {"role", &TraceRunner::take_cloud_role},                     // NAME
-        {"build-role", &TraceRunner::hold_cloud_role},               // NAME: as `role`, with the transaction held back
+        {"build-role", &TraceRunner::hold_cloud_role},               // NAME: `role`, transaction delayed
         {"may-call-cloud", &TraceRunner::may_call_cloud},            // NAME
         {"holds-role", &TraceRunner::holds_cloud_role},              // NAME
     };
@@ -60,17 +60,19 @@
     arguments >> verb;
     if (auto it = cluster_commands().find(verb); it != cluster_commands().end()) return (this->*it->second)(arguments);
     auto it = controller_commands().find(verb);
-    if (it == controller_commands().end()) throw std::runtime_error("unknown command: " + line);
+    if (it == controller_commands().end()) throw std::runtime_error("unknown trace command: " + line);
     std::string name;
     arguments >> name;
     Controller& controller = find(name);
-    if (!controller.core) throw std::runtime_error("controller " + name + " does not run");
+    if (!controller.core)
+        throw std::runtime_error("controller '" + name + "' is not running: start it with `join " + name + "`");
     return (this->*it->second)(controller, arguments);
 }
 
 TraceRunner::Controller& TraceRunner::find(const std::string& name) {
     auto it = controllers_.find(name);
-    if (it == controllers_.end()) throw std::runtime_error("no controller " + name);
+    if (it == controllers_.end())
+        throw std::runtime_error("unknown controller '" + name + "': declare it with `controllers`");
     return it->second;
 }
 
@@ -81,7 +83,6 @@
     controller.core->request_replan();
 }
 
-// Returns what was changed, and what the state service answered.
 std::string TraceRunner::commit(Controller& controller, const state::TransactionBuilder& builder) {
     if (builder.empty()) return "nothing";
     if (controller.refusedByStore) return "503";
@@ -105,20 +106,20 @@
     for (auto& [name, controller] : controllers_) controller.refusedByStore = refused;
 }
 
-// --- commands to the cluster
+// --- cluster
 
 std::string TraceRunner::add_controllers(std::istringstream& arguments) {
     std::vector<std::string> names;
     std::string name;
     while (arguments >> name) names.push_back(name);
-    for (const std::string& each : names) {
-        Controller& controller = controllers_[each];
-        controller.name = each;
+    for (const std::string& member : names) {
+        Controller& controller = controllers_[member];
+        controller.name = member;
         controller.settings = settings_;
-        controller.settings.member = each;
-        controller.settings.location = each;  // a machine in zone a prefers controller a
+        controller.settings.member = member;
+        controller.settings.location = member;  // the controllers are named after zones: hosts in zone a prefer a
         for (const std::string& other : names)
-            if (other != each) controller.settings.members.push_back({other, other, {}});
+            if (other != member) controller.settings.members.push_back({other, other, {}});
     }
     write_unconditionally({{{"set", "ws/types"}, {"data", machine_types()}}});
     return "";
