--- a/src/service/answers.cpp
+++ b/src/service/answers.cpp
@@ -6,7 +6,7 @@
 
 constexpr double kRetryAfterS = 1;
 
-controller::UserResponse phase_answer(int status, const std::string& id, const char* phase) {
+controller::UserResponse phase_response(int status, const std::string& id, const char* phase) {
     return {status, {{"ref", id}, {"phase", phase}}, 0};
 }
 
@@ -24,7 +24,7 @@
     return {421, {{"foreman", leader}}, 0, ""};
 }
 
-api::Response commands_reply(std::uint64_t fencingToken, const std::vector<wire::Command>& commands) {
+api::Response commands_response(std::uint64_t fencingToken, const std::vector<wire::Command>& commands) {
     return {200, {{"baton", fencingToken}, {"orders", to_json(commands)}}, 0, ""};
 }
 
@@ -32,15 +32,15 @@
     return {answer.status, answer.body, answer.retryAfterS, ""};
 }
 
-controller::UserResponse submitted_answer(const std::string& id) {
-    return phase_answer(201, id, "queued");
+controller::UserResponse submitted_response(const std::string& id) {
+    return phase_response(201, id, "queued");
 }
 
-controller::UserResponse cancelled_answer(const std::string& id) {
-    return phase_answer(200, id, "aborted");
+controller::UserResponse cancelled_response(const std::string& id) {
+    return phase_response(200, id, "aborted");
 }
 
-controller::UserResponse unavailable_answer(const char* reason) {
+controller::UserResponse unavailable_response(const char* reason) {
     return {503, {{"error", reason}}, kRetryAfterS};
 }
 
--- a/src/service/answers.hpp
+++ b/src/service/answers.hpp
@@ -22,20 +22,20 @@
 api::Response redirect(const std::string& leader);
 
 // 200 to a heartbeat: the worker's lease is renewed, and these are its commands.
-api::Response commands_reply(std::uint64_t fencingToken, const std::vector<wire::Command>& commands);
+api::Response commands_response(std::uint64_t fencingToken, const std::vector<wire::Command>& commands);
 
 // An answer to a user as a response.
 api::Response to_response(const controller::UserResponse& answer);
 
 // 201: the submission is durable.
-controller::UserResponse submitted_answer(const std::string& id);
+controller::UserResponse submitted_response(const std::string& id);
 
 // 200: the cancellation is durable.
-controller::UserResponse cancelled_answer(const std::string& id);
+controller::UserResponse cancelled_response(const std::string& id);
 
 // 503 with Retry-After, for a request in the queue.
-controller::UserResponse unavailable_answer(const char* reason);
+controller::UserResponse unavailable_response(const char* reason);
 
-inline constexpr const char* kStoreDoesNotAnswer = "the state service does not answer";
+inline constexpr const char* kStateServiceNotResponding = "the state service does not answer";
 
 }  // namespace wellstair::service
--- a/src/service/availability_monitor.cpp
+++ b/src/service/availability_monitor.cpp
@@ -33,7 +33,7 @@
     controller::Core& core = context_.core;
     const Availability current = core.availability();
     const Availability next = leadership::next_availability(current, signals(), limits());
-    if (next != current) log(signals());
+    if (next != current) log_change(signals());
     if (next == Availability::disconnected && current != Availability::disconnected)
         disconnectedSinceS_ = net::steady_now();
     core.set_availability(next, now());
@@ -43,7 +43,7 @@
     return leadership::healthy(context_.core.availability(), context_.core.state_ready(), signals(), limits());
 }
 
-void AvailabilityMonitor::log(const leadership::AvailabilitySignals& signals) const {
+void AvailabilityMonitor::log_change(const leadership::AvailabilitySignals& signals) const {
     spdlog::info(
         "availability: registered {}, state service answered {:.3f} s ago, read {:.3f} s ago of {:.3f} s, others heard "
         "{}, another has the state service {}",
--- a/src/service/availability_monitor.hpp
+++ b/src/service/availability_monitor.hpp
@@ -28,7 +28,7 @@
   private:
     leadership::AvailabilitySignals signals() const;
     leadership::AvailabilityLimits limits() const;
-    void log(const leadership::AvailabilitySignals& signals) const;
+    void log_change(const leadership::AvailabilitySignals& signals) const;
 
     LoopContext context_;
     const store::Client& store_;
--- a/src/service/cloud_loop.cpp
+++ b/src/service/cloud_loop.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr double kTurnsPerHeartbeatInterval = 3;
+constexpr double kIterationsPerHeartbeatInterval = 3;
 constexpr double kTypesValidS = 60;
-constexpr double kLeastListIntervalS = 2, kListsPerLag = 2;
-constexpr int kMostRentCalls = 12;  // in one turn
-constexpr int kRentTries = 2;
+constexpr double kMinListIntervalS = 2, kListsPerListLag = 2;
+constexpr int kMaxRentCalls = 12;  // in one turn
+constexpr int kMaxRentAttempts = 2;
 
 // Built outside the coroutines: GCC 12 cannot compile such initialisers inside them.
 Json type_list(const std::vector<wire::MachineType>& types) {
@@ -36,10 +36,10 @@
 asio::awaitable<void> CloudLoop::run() {
     controller::Core& core = context_.core;
     for (;;) {
-        const double pauseS = context_.settings.heartbeatIntervalS / kTurnsPerHeartbeatInterval;
+        const double pauseS = context_.settings.heartbeatIntervalS / kIterationsPerHeartbeatInterval;
         co_await net::sleep_for(context_.io, net::jitter(pauseS));
         if (core.availability() != state::Availability::serving || !core.member_revision()) continue;
-        if (core.may_take_cloud_role()) co_await take_role();
+        if (core.may_take_cloud_role()) co_await acquire_role();
         if (!may_call()) continue;
         const double nowS = net::steady_now();
         co_await refresh_types(nowS);
@@ -50,7 +50,7 @@
     }
 }
 
-asio::awaitable<void> CloudLoop::take_role() {
+asio::awaitable<void> CloudLoop::acquire_role() {
     state::TransactionBuilder builder = context_.core.new_transaction();
     context_.core.take_cloud_role(builder, membership_.lease_id());
     co_await commit(std::move(builder));
@@ -58,10 +58,10 @@
 }
 
 asio::awaitable<void> CloudLoop::refresh_types(double nowS) {
-    if (!context_.core.state().machine_types().empty() && nowS - typesReadS_ <= kTypesValidS) co_return;
+    if (!context_.core.state().machine_types().empty() && nowS - lastTypesReadS_ <= kTypesValidS) co_return;
     auto types = co_await cloud_.types();
     if (!types) co_return;
-    typesReadS_ = nowS;
+    lastTypesReadS_ = nowS;
     co_await write_types(std::move(*types));
 }
 
@@ -79,11 +79,11 @@
 
 asio::awaitable<void> CloudLoop::refresh_machines(double nowS) {
     if (!may_call()) co_return;
-    const double intervalS = std::max(kLeastListIntervalS, context_.settings.listLagS / kListsPerLag);
-    if (nowS - machinesReadS_ <= intervalS) co_return;
+    const double intervalS = std::max(kMinListIntervalS, context_.settings.listLagS / kListsPerListLag);
+    if (nowS - lastMachinesReadS_ <= intervalS) co_return;
     auto machines = co_await cloud_.list();
     if (!machines) co_return;
-    machinesReadS_ = nowS;
+    lastMachinesReadS_ = nowS;
     context_.core.set_machines(std::move(*machines), now());
 }
 
@@ -102,7 +102,7 @@
 asio::awaitable<void> CloudLoop::scale_out() {
     controller::Core& core = context_.core;
     core.plan_scale_out(now());
-    for (int calls = 0; calls < kMostRentCalls; ++calls) {
+    for (int calls = 0; calls < kMaxRentCalls; ++calls) {
         auto requests = core.scale_out_requests(now());
         if (requests.empty() || !may_call()) break;
         const controller::ScaleOutRequest request = requests.front();
@@ -114,10 +114,10 @@
 }
 
 asio::awaitable<RentResult> CloudLoop::rent(controller::ScaleOutRequest request) {
-    const std::string requestName = next_request_name();
+    const std::string requestId = next_request_id();
     RentResult result;
-    for (int tries = 0; tries < kRentTries && may_call(); ++tries) {
-        result = co_await cloud_.rent(requestName, request.machineType, request.zone, request.spot, request.number);
+    for (int attempts = 0; attempts < kMaxRentAttempts && may_call(); ++attempts) {
+        result = co_await cloud_.rent(requestId, request.machineType, request.zone, request.spot, request.number);
         if (result.kind != RentResult::Kind::failed) break;
     }
     spdlog::info("scale out {} {} in {}{}: {} machines", request.number, request.machineType, request.zone,
@@ -126,8 +126,8 @@
 }
 
 // Never used again, not even by another process: it carries the incarnation.
-std::string CloudLoop::next_request_name() {
-    return "r-" + std::to_string(context_.core.incarnation()) + "-" + std::to_string(++rentRequests_);
+std::string CloudLoop::next_request_id() {
+    return "r-" + std::to_string(context_.core.incarnation()) + "-" + std::to_string(++rentRequestCount_);
 }
 
 asio::awaitable<void> CloudLoop::commit(state::TransactionBuilder builder) {
--- a/src/service/cloud_loop.hpp
+++ b/src/service/cloud_loop.hpp
@@ -34,7 +34,7 @@
 
   private:
     bool may_call();
-    asio::awaitable<void> take_role();
+    asio::awaitable<void> acquire_role();
     asio::awaitable<void> refresh_types(double nowS);
     asio::awaitable<void> write_types(std::vector<wire::MachineType> types);
     asio::awaitable<void> refresh_machines(double nowS);
@@ -42,7 +42,7 @@
     asio::awaitable<void> scale_out();
     asio::awaitable<cloud::RentResult> rent(controller::ScaleOutRequest request);
     asio::awaitable<void> commit(state::TransactionBuilder builder);
-    std::string next_request_name();
+    std::string next_request_id();
 
     LoopContext context_;
     cloud::Client& cloud_;
@@ -50,8 +50,8 @@
     AvailabilityMonitor& availability_;
     ReadBarrier& readBarrier_;
     Committer& committer_;
-    double typesReadS_ = -1e9, machinesReadS_ = -1e9;  // steady clock
-    std::uint64_t rentRequests_ = 0;
+    double lastTypesReadS_ = -1e9, lastMachinesReadS_ = -1e9;  // steady clock
+    std::uint64_t rentRequestCount_ = 0;
 };
 
 }  // namespace wellstair::service
--- a/src/service/committer.cpp
+++ b/src/service/committer.cpp
@@ -63,10 +63,10 @@
     spdlog::error("the state service refused {} operations, {} conditions: {}", transaction.writes,
                   transaction.body["when"].size(), written.sizes);
     context_.core.handle_rejected_transaction(written.keys, now());
-    follow_limits();
+    update_write_rate();
 }
 
-void Committer::follow_limits() {
+void Committer::update_write_rate() {
     store_.set_write_rate(context_.core.state_limits().writeRps);
 }
 
--- a/src/service/committer.hpp
+++ b/src/service/committer.hpp
@@ -26,7 +26,7 @@
     asio::awaitable<store::CommitResult> commit(TransactionSource source, const state::Transaction& transaction);
 
     // Sets the rate of writes by the limits that hold now; they may change while the controller runs.
-    void follow_limits();
+    void update_write_rate();
 
   private:
     void handle_malformed(const state::Transaction& transaction);
--- a/src/service/heartbeat_api.cpp
+++ b/src/service/heartbeat_api.cpp
@@ -22,13 +22,13 @@
     // A process that was suspended answers what has queued up meanwhile before any of its timers: whether it may still
     // act for the controllers is judged first, by the clock as it is now.
     availability_.update();
-    const double untilS = net::steady_now() + kRegistrationWaitS;
+    const double deadlineS = net::steady_now() + kRegistrationWaitS;
     for (;;) {
         HeartbeatResponse response = context_.core.handle_heartbeat(*heartbeat, now());
         if (context_.core.round_due()) context_.signals.roundDue.notify();
         switch (response.kind) {
             case HeartbeatResponse::Kind::renewed:
-                co_return commands_reply(response.token, response.commands);
+                co_return commands_response(response.token, response.commands);
             case HeartbeatResponse::Kind::redirect:
                 co_return redirect(response.leader);
             case HeartbeatResponse::Kind::refuse:
@@ -36,9 +36,9 @@
             case HeartbeatResponse::Kind::acquiring:
                 break;
         }
-        const double leftS = untilS - net::steady_now();
-        if (leftS <= 0) co_return unavailable("the registration of the host is not durable yet");
-        co_await context_.signals.stateChanged.wait(std::min(leftS, kRecheckS));
+        const double remainingS = deadlineS - net::steady_now();
+        if (remainingS <= 0) co_return unavailable("the registration of the host is not durable yet");
+        co_await context_.signals.stateChanged.wait(std::min(remainingS, kRecheckS));
     }
 }
 
--- a/src/service/membership_loop.cpp
+++ b/src/service/membership_loop.cpp
@@ -11,8 +11,8 @@
 
 // Of the workers' lease: a dead controller's jobs are taken up within it.
 constexpr double kMemberTtlPerLease = 0.25;
-constexpr double kRenewPerTtl = 1.0 / 3;  // two renewals may fail
-constexpr double kStateWaitS = 0.2;       // for the state to be read
+constexpr double kRenewalIntervalPerTtl = 1.0 / 3;  // two renewals may fail
+constexpr double kStateWaitS = 0.2;                 // for the state to be read
 constexpr double kGrantRetryS = 0.2, kRegistrationRetryS = 0.1, kRenewalRetryS = 0.1;
 
 // Built outside the coroutines: GCC 12 cannot compile such initialisers inside them.
@@ -77,7 +77,7 @@
 }
 
 asio::awaitable<void> MembershipLoop::renew_lease() {
-    co_await net::sleep_for(context_.io, lease_ttl_s() * kRenewPerTtl);
+    co_await net::sleep_for(context_.io, lease_ttl_s() * kRenewalIntervalPerTtl);
     auto renewal = co_await store_.renew(leaseId_, kStoreTimeoutS);
     if (renewal == Renewal::failed) {
         co_await net::sleep_for(context_.io, kRenewalRetryS);
--- a/src/service/peer_status_exchange.cpp
+++ b/src/service/peer_status_exchange.cpp
@@ -9,8 +9,8 @@
 peers::PeerStatus PeerStatusExchange::own_status(const std::string& receiver) {
     controller::Core& core = context_.core;
     // Put together once for all who are told in the same moment: it looks at every machine.
-    if (net::steady_now() - ownStatusAtS_ > kOwnStatusValidS) {
-        ownStatusAtS_ = net::steady_now();
+    if (net::steady_now() - ownStatusBuiltS_ > kOwnStatusValidS) {
+        ownStatusBuiltS_ = net::steady_now();
         ownStatus_ = core.own_peer_status(0, now());
         ownStatus_.requestNumber = cancellationBarrier_.next_request(net::steady_now());
     }
--- a/src/service/peer_status_exchange.hpp
+++ b/src/service/peer_status_exchange.hpp
@@ -35,7 +35,7 @@
     leadership::CancellationReadBarrier cancellationBarrier_;
     std::map<std::string, std::uint64_t> newestRequests_;  // of each other controller
     peers::PeerStatus ownStatus_;
-    double ownStatusAtS_ = -1e9;
+    double ownStatusBuiltS_ = -1e9;
 };
 
 }  // namespace wellstair::service
--- a/src/service/periodic_checks.cpp
+++ b/src/service/periodic_checks.cpp
@@ -15,7 +15,7 @@
     for (;;) {
         co_await net::sleep_for(context_.io, kIntervalS);
         availability_.update();
-        committer_.follow_limits();
+        committer_.update_write_rate();
         log_statistics();
         // Connections to machines that are gone, or led elsewhere, would use up the sockets in the long run.
         channels_.prune([this](const std::string& host) { return context_.core.tracker(host) != nullptr; });
@@ -23,8 +23,8 @@
 }
 
 void PeriodicChecks::log_statistics() {
-    if (net::steady_now() - loggedAtS_ < kStatisticsIntervalS) return;
-    loggedAtS_ = net::steady_now();
+    if (net::steady_now() - lastLoggedS_ < kStatisticsIntervalS) return;
+    lastLoggedS_ = net::steady_now();
     auto& statistics = context_.core.heartbeat_statistics();
     if (!statistics.empty()) spdlog::info(statistics.take_summary());
 }
--- a/src/service/periodic_checks.hpp
+++ b/src/service/periodic_checks.hpp
@@ -25,7 +25,7 @@
     AvailabilityMonitor& availability_;
     Committer& committer_;
     workers::CommandChannels& channels_;
-    double loggedAtS_ = 0;
+    double lastLoggedS_ = 0;
 };
 
 }  // namespace wellstair::service
--- a/src/service/read_barrier.cpp
+++ b/src/service/read_barrier.cpp
@@ -6,34 +6,34 @@
 
 namespace {
 
-constexpr double kIdleReadS = 0.5;        // without anybody asking, a read is sent so often
-constexpr double kLeastPauseS = 0.001;    // between two reads
-constexpr double kStreamLatencyS = 0.01;  // the followed changes usually bring our own write within this time
+constexpr double kIdleReadS = 0.5;       // without anybody asking, a read is sent so often
+constexpr double kMinPauseS = 0.001;     // between two reads
+constexpr double kWatchLatencyS = 0.01;  // the followed changes usually bring our own write within this time
 
 }  // namespace
 
 asio::awaitable<void> ReadBarrier::run() {
-    const double leastS = least_read_interval(context_.settings);
+    const double minIntervalS = min_read_interval(context_.settings);
     for (;;) {
-        if (!read_wanted()) {
-            co_await asked_.wait(kIdleReadS);
+        if (!read_pending()) {
+            co_await readRequested_.wait(kIdleReadS);
             // Following the changes alone would not notice a state service that is gone.
-            if (!read_wanted() && net::steady_now() - reader_.last_read_s() < kIdleReadS) continue;
+            if (!read_pending() && net::steady_now() - reader_.last_read_s() < kIdleReadS) continue;
         }
-        const double beganS = net::steady_now();
-        started_ = wanted_;
+        const double startS = net::steady_now();
+        started_ = requested_;
         const std::uint64_t number = started_;
         if (context_.core.state_ready())
-            co_await read(number, beganS);
+            co_await read(number, startS);
         else
             failed_ = number;
-        done_.notify();
-        const double tookS = net::steady_now() - beganS;
-        co_await net::sleep_for(context_.io, std::max(kLeastPauseS, leastS - tookS));
+        readFinished_.notify();
+        const double elapsedS = net::steady_now() - startS;
+        co_await net::sleep_for(context_.io, std::max(kMinPauseS, minIntervalS - elapsedS));
     }
 }
 
-asio::awaitable<void> ReadBarrier::read(std::uint64_t number, double beganS) {
+asio::awaitable<void> ReadBarrier::read(std::uint64_t number, double startS) {
     controller::Core& core = context_.core;
     const std::uint64_t loadCount = reader_.load_count();
     auto result = co_await store_.follow(state::keys::kPrefix, core.state().revision(), 0, kStoreTimeoutS);
@@ -44,33 +44,33 @@
         failedSinceS_ = 0;
         co_return;
     }
-    if (failedSinceS_ == 0) failedSinceS_ = beganS;
+    if (failedSinceS_ == 0) failedSinceS_ = startS;
     if (result.kind == FollowResult::Kind::gone) core.set_state_ready(false);
     failed_ = number;
 }
 
 asio::awaitable<bool> ReadBarrier::wait(double timeoutS) {
-    const double untilS = net::steady_now() + timeoutS;
+    const double deadlineS = net::steady_now() + timeoutS;
     // The read that is under way was sent before this call: it takes the next.
-    wanted_ = std::max(wanted_, started_ + 1);
-    const std::uint64_t number = wanted_;
-    asked_.notify();
+    requested_ = std::max(requested_, started_ + 1);
+    const std::uint64_t number = requested_;
+    readRequested_.notify();
     while (succeeded_ < number) {
         if (failed_ >= number) co_return false;
-        const double leftS = untilS - net::steady_now();
-        if (leftS <= 0) co_return false;
-        co_await done_.wait(leftS);
+        const double remainingS = deadlineS - net::steady_now();
+        if (remainingS <= 0) co_return false;
+        co_await readFinished_.wait(remainingS);
     }
     co_return true;
 }
 
 asio::awaitable<bool> ReadBarrier::wait_for_revision(std::uint64_t revision, double timeoutS) {
-    const double untilS = net::steady_now() + timeoutS;
+    const double deadlineS = net::steady_now() + timeoutS;
     controller::Core& core = context_.core;
-    if (core.state().revision() < revision) co_await context_.signals.stateChanged.wait(kStreamLatencyS);
+    if (core.state().revision() < revision) co_await context_.signals.stateChanged.wait(kWatchLatencyS);
     while (core.state().revision() < revision) {
-        if (net::steady_now() > untilS) co_return false;
-        co_await wait(untilS - net::steady_now());
+        if (net::steady_now() > deadlineS) co_return false;
+        co_await wait(deadlineS - net::steady_now());
     }
     co_return true;
 }
--- a/src/service/read_barrier.hpp
+++ b/src/service/read_barrier.hpp
@@ -15,7 +15,7 @@
 class ReadBarrier {
   public:
     ReadBarrier(LoopContext context, store::Client& store, StateReader& reader)
-        : context_(context), store_(store), reader_(reader), asked_(context.io), done_(context.io) {}
+        : context_(context), store_(store), reader_(reader), readRequested_(context.io), readFinished_(context.io) {}
 
     // Sends the reads, for ever; one also when nobody asks, so that a state service that is gone is noticed.
     asio::awaitable<void> run();
@@ -31,15 +31,15 @@
     double failed_since_s() const { return failedSinceS_; }
 
   private:
-    bool read_wanted() const { return wanted_ > std::max(succeeded_, failed_); }
-    asio::awaitable<void> read(std::uint64_t number, double beganS);
+    bool read_pending() const { return requested_ > std::max(succeeded_, failed_); }
+    asio::awaitable<void> read(std::uint64_t number, double startS);
 
     LoopContext context_;
     store::Client& store_;
     StateReader& reader_;
-    net::Signal asked_, done_;
+    net::Signal readRequested_, readFinished_;
     // Numbers of reads: the newest that somebody waits for, that was sent, that succeeded, that failed.
-    std::uint64_t wanted_ = 0, started_ = 0, succeeded_ = 0, failed_ = 0;
+    std::uint64_t requested_ = 0, started_ = 0, succeeded_ = 0, failed_ = 0;
     double failedSinceS_ = 0;
 };
 
--- a/src/service/round_loop.cpp
+++ b/src/service/round_loop.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr double kLongestIdleS = 0.5;  // time alone changes things, too
-constexpr double kWritesOfARound = 4;  // a round waits until it may write so much
-constexpr double kLongestWriteWaitS = 0.5;
-constexpr double kPausePerCost = 3;  // at most a quarter of the time is spent on deciding
-constexpr double kLeastPauseS = 0.01;
-constexpr double kMostPausePerHeartbeatInterval = 1.0 / 6;
+constexpr double kMaxIdleS = 0.5;      // time alone changes things, too
+constexpr double kWritesPerRound = 4;  // a round waits until it may write so much
+constexpr double kMaxWriteWaitS = 0.5;
+constexpr double kPausePerComputeTime = 3;  // at most a quarter of the time is spent on deciding
+constexpr double kMinPauseS = 0.01;
+constexpr double kMaxPausePerHeartbeatInterval = 1.0 / 6;
 constexpr double kBusyRetryS = 0.1;
 constexpr double kCatchUpTimeoutS = 2 * kStoreTimeoutS;
 
@@ -22,30 +22,31 @@
 asio::awaitable<void> RoundLoop::run() {
     controller::Core& core = context_.core;
     for (;;) {
-        if (!core.round_due()) co_await context_.signals.roundDue.wait(kLongestIdleS);
-        double beganS = net::steady_now();
+        if (!core.round_due()) co_await context_.signals.roundDue.wait(kMaxIdleS);
+        double startS = net::steady_now();
         core.advance_time(now());
-        double costS = 0;
-        if (core.availability() == state::Availability::serving && core.state_ready()) costS = co_await decide(beganS);
+        double computeS = 0;
+        if (core.availability() == state::Availability::serving && core.state_ready())
+            computeS = co_await decide(startS);
         // Whatever the availability: what is known to be cancelled is stopped in an outage as well.
-        beganS = net::steady_now();
+        startS = net::steady_now();
         commands_.send_due();
-        costS += net::steady_now() - beganS;
+        computeS += net::steady_now() - startS;
         // Under load rounds come further apart, and each takes more with it.
-        const double mostPauseS = context_.settings.heartbeatIntervalS * kMostPausePerHeartbeatInterval;
-        co_await net::sleep_for(context_.io, std::clamp(kPausePerCost * costS, kLeastPauseS, mostPauseS));
+        const double maxPauseS = context_.settings.heartbeatIntervalS * kMaxPausePerHeartbeatInterval;
+        co_await net::sleep_for(context_.io, std::clamp(kPausePerComputeTime * computeS, kMinPauseS, maxPauseS));
     }
 }
 
 // Returns how long the core took, seconds.
-asio::awaitable<double> RoundLoop::decide(double beganS) {
-    const double waitS = store_.writes().wait_for(kWritesOfARound, beganS);
-    if (waitS > 0) co_await net::sleep_for(context_.io, std::min(waitS, kLongestWriteWaitS));
-    beganS = net::steady_now();
+asio::awaitable<double> RoundLoop::decide(double startS) {
+    const double waitS = store_.writes().wait_for(kWritesPerRound, startS);
+    if (waitS > 0) co_await net::sleep_for(context_.io, std::min(waitS, kMaxWriteWaitS));
+    startS = net::steady_now();
     state::TransactionBuilder builder = context_.core.round(now());
-    const double costS = net::steady_now() - beganS;
+    const double computeS = net::steady_now() - startS;
     if (!builder.empty()) co_await commit(builder.build());
-    co_return costS;
+    co_return computeS;
 }
 
 asio::awaitable<void> RoundLoop::commit(state::Transaction transaction) {
--- a/src/service/round_loop.hpp
+++ b/src/service/round_loop.hpp
@@ -27,7 +27,7 @@
     asio::awaitable<void> run();
 
   private:
-    asio::awaitable<double> decide(double beganS);
+    asio::awaitable<double> decide(double startS);
     asio::awaitable<void> commit(state::Transaction transaction);
 
     LoopContext context_;
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Of max_sockets; the rest is for the state service, the cloud and the other controllers.
-constexpr double kSocketsForServer = 0.92, kSocketsForCommands = 0.05;
+constexpr double kServerSocketShare = 0.92, kCommandSocketShare = 0.05;
 
 std::uint64_t random_incarnation() {
     std::random_device device;
@@ -30,7 +30,7 @@
       context_{io, settings, core_, signals_},
       store_(io, settings),
       cloud_(io, settings),
-      channels_(io, std::max<std::size_t>(1, sockets(settings, kSocketsForCommands))),
+      channels_(io, std::max<std::size_t>(1, sockets(settings, kCommandSocketShare))),
       stateReader_(context_, store_),
       readBarrier_(context_, store_, stateReader_),
       peerStatus_(context_, store_),
@@ -44,7 +44,7 @@
       periodicChecks_(context_, availability_, committer_, channels_),
       userApi_(context_, availability_, readBarrier_, userRequests_),
       heartbeatApi_(context_, availability_),
-      server_(io, settings.publicEndpoint, sockets(settings, kSocketsForServer), settings.leaseS, handlers()),
+      server_(io, settings.publicEndpoint, sockets(settings, kServerSocketShare), settings.leaseS, handlers()),
       peerNetwork_(
           io, settings, [this](const std::string& receiver) { return peerStatus_.own_status(receiver); },
           [this](const peers::PeerStatus& status) { peerStatus_.receive(status); }) {}
--- a/src/service/state_reader.cpp
+++ b/src/service/state_reader.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-constexpr double kRetryS = 0.2;  // mean pause after a failed read
+constexpr double kMeanRetryPauseS = 0.2;  // mean pause after a failed read
 constexpr double kLongPollS = 5, kLongPollTimeoutS = 6.5;
-constexpr double kReadsOfAnInterval = 4;  // kinds of requests that share the rate evenly
+constexpr double kRequestKinds = 4;  // kinds of requests that share the rate evenly
 
 }  // namespace
 
-double least_read_interval(const config::Settings& settings) {
-    return kReadsOfAnInterval * settings.controller_count() / settings.stateRps;
+double min_read_interval(const config::Settings& settings) {
+    return kRequestKinds * settings.controller_count() / settings.stateRps;
 }
 
 asio::awaitable<void> StateReader::run() {
@@ -28,7 +28,7 @@
             continue;
         }
         const bool loaded = co_await load();
-        if (!loaded) co_await net::sleep_for(context_.io, net::jitter(kRetryS));
+        if (!loaded) co_await net::sleep_for(context_.io, net::jitter(kMeanRetryPauseS));
     }
 }
 
@@ -67,8 +67,8 @@
 
 asio::awaitable<void> StateReader::follow_once() {
     controller::Core& core = context_.core;
-    const double leastS = least_read_interval(context_.settings);
-    const double beganS = net::steady_now();
+    const double minIntervalS = min_read_interval(context_.settings);
+    const double startS = net::steady_now();
     const std::uint64_t loadCount = loadCount_;
     auto read = co_await store_.follow(state::keys::kPrefix, core.state().revision(), kLongPollS, kLongPollTimeoutS);
     if (read.kind == FollowResult::Kind::gone) {
@@ -77,11 +77,11 @@
     }
     const bool succeeded = read.kind == FollowResult::Kind::ok;
     if (succeeded && loadCount == loadCount_) apply(read);
-    const double tookS = net::steady_now() - beganS;
+    const double elapsedS = net::steady_now() - startS;
     if (!succeeded)
-        co_await net::sleep_for(context_.io, net::jitter(kRetryS));
-    else if (tookS < leastS)
-        co_await net::sleep_for(context_.io, leastS - tookS);
+        co_await net::sleep_for(context_.io, net::jitter(kMeanRetryPauseS));
+    else if (elapsedS < minIntervalS)
+        co_await net::sleep_for(context_.io, minIntervalS - elapsedS);
 }
 
 void StateReader::apply(const FollowResult& read) {
--- a/src/service/state_reader.hpp
+++ b/src/service/state_reader.hpp
@@ -15,7 +15,7 @@
 
 // The least time between two reads of one kind, seconds: each kind takes a quarter of this controller's share of the
 // request rate.
-double least_read_interval(const config::Settings& settings);
+double min_read_interval(const config::Settings& settings);
 
 class StateReader {
   public:
--- a/src/service/user_api.cpp
+++ b/src/service/user_api.cpp
@@ -17,9 +17,9 @@
 }
 
 // What a repeated submission of the job is answered with; nothing if the job is not known.
-asio::awaitable<std::optional<Response>> UserApi::repeat_answer(std::string id) {
+asio::awaitable<std::optional<Response>> UserApi::repeat_response(std::string id) {
     const bool current = co_await state_is_current();
-    if (!current) co_return unavailable(kStoreDoesNotAnswer);
+    if (!current) co_return unavailable(kStateServiceNotResponding);
     if (auto known = context_.core.find_submission(id)) co_return to_response(*known);
     co_return std::nullopt;
 }
@@ -29,13 +29,13 @@
     if (!body) co_return refusal(400, "the body must be MessagePack without binary data");
     if (!body->is_object()) co_return refusal(400, "the body must be a map");
     auto parsed = wire::parse_job(*body);
-    std::optional<Response> refused = objection(parsed);
+    std::optional<Response> refused = rejection(parsed);
     if (refused) co_return co_await refuse(std::move(*body), std::move(*refused));
     co_return co_await accept(std::get<wire::JobSpec>(std::move(parsed)));
 }
 
 // Why the submission cannot be accepted; nothing if it can.
-std::optional<Response> UserApi::objection(const ParsedJob& parsed) const {
+std::optional<Response> UserApi::rejection(const ParsedJob& parsed) const {
     if (auto* invalid = std::get_if<wire::JobSpecError>(&parsed)) return refusal(400, invalid->reason);
     bool unsure = false;
     auto never = context_.core.infeasibility_reason(std::get<wire::JobSpec>(parsed), unsure);
@@ -48,7 +48,7 @@
 asio::awaitable<Response> UserApi::refuse(wire::Json body, Response refusal) {
     auto id = wire::get_string(body, "ref");
     if (id && wire::valid_job_id(*id)) {
-        auto repeat = co_await repeat_answer(*id);
+        auto repeat = co_await repeat_response(*id);
         if (repeat) co_return *repeat;
     }
     co_return refusal;
@@ -58,7 +58,7 @@
     controller::Core& core = context_.core;
     if (core.state().outcome(spec.id)) co_return to_response(*core.find_submission(spec.id));
     if (core.state().job(spec.id)) {
-        auto repeat = co_await repeat_answer(spec.id);
+        auto repeat = co_await repeat_response(spec.id);
         if (repeat) co_return *repeat;
     }
     controller::UserResponse answer = co_await queue_.submit(std::move(spec));
@@ -69,7 +69,7 @@
     controller::Core& core = context_.core;
     if (core.state().outcome(id)) co_return to_response(core.job_status(id));
     const bool current = co_await state_is_current();
-    if (!current) co_return unavailable(kStoreDoesNotAnswer);
+    if (!current) co_return unavailable(kStateServiceNotResponding);
     co_return to_response(core.job_status(id));
 }
 
@@ -77,7 +77,7 @@
     controller::Core& core = context_.core;
     if (core.state().outcome(id)) co_return to_response(core.job_status(id));
     const bool current = co_await state_is_current();
-    if (!current) co_return unavailable(kStoreDoesNotAnswer);
+    if (!current) co_return unavailable(kStateServiceNotResponding);
     auto* job = core.state().job(id);
     if (!job || job->state != state::JobState::active) co_return to_response(core.job_status(id));
     controller::UserResponse answer = co_await queue_.cancel(std::move(id));
--- a/src/service/user_api.hpp
+++ b/src/service/user_api.hpp
@@ -35,8 +35,8 @@
     using ParsedJob = std::variant<wire::JobSpec, wire::JobSpecError>;
 
     asio::awaitable<bool> state_is_current();
-    asio::awaitable<std::optional<api::Response>> repeat_answer(std::string id);
-    std::optional<api::Response> objection(const ParsedJob& parsed) const;
+    asio::awaitable<std::optional<api::Response>> repeat_response(std::string id);
+    std::optional<api::Response> rejection(const ParsedJob& parsed) const;
     asio::awaitable<api::Response> refuse(wire::Json body, api::Response refusal);
     asio::awaitable<api::Response> accept(wire::JobSpec spec);
 
--- a/src/service/user_request_queue.cpp
+++ b/src/service/user_request_queue.cpp
@@ -55,13 +55,13 @@
             continue;
         }
         state::TransactionBuilder builder = context_.core.new_transaction();
-        Sorted sorted = sort(builder);
-        waiting_ = std::move(sorted.rest);
-        if (!sorted.known.empty()) co_await check_known(std::move(sorted.known));
-        if (sorted.batch.empty())
+        ClassifiedRequests classified = classify(builder);
+        waiting_ = std::move(classified.deferred);
+        if (!classified.toVerify.empty()) co_await verify_known(std::move(classified.toVerify));
+        if (classified.batch.empty())
             context_.signals.stateChanged.notify();
         else
-            co_await commit(builder.build(), std::move(sorted.batch));
+            co_await commit(builder.build(), std::move(classified.batch));
     }
 }
 
@@ -71,58 +71,59 @@
 }
 
 void UserRequestQueue::refuse_all() {
-    for (auto& request : waiting_) request->answer = unavailable_answer(kStoreDoesNotAnswer);
+    for (auto& request : waiting_) request->answer = unavailable_response(kStateServiceNotResponding);
     waiting_.clear();
     context_.signals.stateChanged.notify();
 }
 
 // Answers what needs no transaction, and adds to the transaction what has room in it.
-UserRequestQueue::Sorted UserRequestQueue::sort(state::TransactionBuilder& builder) {
-    Sorted sorted;
+UserRequestQueue::ClassifiedRequests UserRequestQueue::classify(state::TransactionBuilder& builder) {
+    ClassifiedRequests classified;
     for (auto& request : waiting_) {
         if (request->kind == Request::Kind::submit)
-            sort_submission(builder, request, sorted);
+            classify_submission(builder, request, classified);
         else
-            sort_cancellation(builder, request, sorted);
+            classify_cancellation(builder, request, classified);
     }
-    return sorted;
+    return classified;
 }
 
-void UserRequestQueue::sort_submission(state::TransactionBuilder& builder, const RequestPtr& request, Sorted& sorted) {
+void UserRequestQueue::classify_submission(state::TransactionBuilder& builder, const RequestPtr& request,
+                                           ClassifiedRequests& classified) {
     controller::Core& core = context_.core;
     if (auto known = core.find_submission(request->id)) {
         // The cached state may be older than what another controller has told the user already.
-        if (request->current || core.state().outcome(request->id))
+        if (request->stateCurrent || core.state().outcome(request->id))
             request->answer = known;
         else
-            sorted.known.push_back(request);
+            classified.toVerify.push_back(request);
     } else if (builder.submit(request->spec, context_.settings.member, wall_seconds())) {
-        sorted.batch.push_back(request);
+        classified.batch.push_back(request);
     } else {
-        sorted.rest.push_back(request);
+        classified.deferred.push_back(request);
     }
 }
 
-void UserRequestQueue::sort_cancellation(state::TransactionBuilder& builder, const RequestPtr& request,
-                                         Sorted& sorted) {
+void UserRequestQueue::classify_cancellation(state::TransactionBuilder& builder, const RequestPtr& request,
+                                             ClassifiedRequests& classified) {
     controller::Core& core = context_.core;
     auto* job = core.state().job(request->id);
     if (!job || job->state != state::JobState::active)
         request->answer = core.job_status(request->id);
     else if (builder.cancel(*job, wall_seconds()))
-        sorted.batch.push_back(request);
+        classified.batch.push_back(request);
     else
-        sorted.rest.push_back(request);
+        classified.deferred.push_back(request);
 }
 
-asio::awaitable<void> UserRequestQueue::check_known(Requests known) {
+asio::awaitable<void> UserRequestQueue::verify_known(Requests toVerify) {
     const bool current = co_await readBarrier_.wait(kStoreTimeoutS);
-    for (auto& request : known) {
-        request->current = current;
+    for (auto& request : toVerify) {
+        request->stateCurrent = current;
         if (current)
             waiting_.push_back(request);
         else
-            request->answer = unavailable_answer(kStoreDoesNotAnswer);
+            request->answer = unavailable_response(kStateServiceNotResponding);
     }
 }
 
@@ -148,21 +149,21 @@
     context_.core.record_cancellations(cancelled);
     for (auto& request : batch)
         request->answer =
-            request->kind == Request::Kind::submit ? submitted_answer(request->id) : cancelled_answer(request->id);
+            request->kind == Request::Kind::submit ? submitted_response(request->id) : cancelled_response(request->id);
 }
 
 asio::awaitable<void> UserRequestQueue::retry_or_refuse(Outcome outcome, Requests batch) {
-    bool again = outcome == Outcome::conflict || outcome == Outcome::unknown;
-    if (again) again = co_await readBarrier_.wait(kStoreTimeoutS);
+    bool retry = outcome == Outcome::conflict || outcome == Outcome::unknown;
+    if (retry) retry = co_await readBarrier_.wait(kStoreTimeoutS);
     if (outcome == Outcome::busy) {
         co_await net::sleep_for(context_.io, net::jitter(kBusyRetryS));
-        for (auto& request : batch) again = again || !std::exchange(request->retried, true);
+        for (auto& request : batch) retry = retry || !std::exchange(request->retried, true);
     }
     for (auto& request : batch) {
-        if (again && net::steady_now() < request->deadlineS)
+        if (retry && net::steady_now() < request->deadlineS)
             waiting_.push_back(request);
         else
-            request->answer = unavailable_answer("the state service does not take it now");
+            request->answer = unavailable_response("the state service does not take it now");
     }
 }
 
--- a/src/service/user_request_queue.hpp
+++ b/src/service/user_request_queue.hpp
@@ -43,28 +43,30 @@
     struct Request {
         enum class Kind : std::uint8_t { submit, cancel } kind = Kind::submit;
         std::string id;
-        wire::JobSpec spec;    // of a submission
-        double deadlineS = 0;  // steady clock: not tried again after it
-        bool retried = false;  // after the state service was busy
-        bool current = false;  // the state has been read up to a moment after the request came
+        wire::JobSpec spec;         // of a submission
+        double deadlineS = 0;       // steady clock: not tried again after it
+        bool retried = false;       // after the state service was busy
+        bool stateCurrent = false;  // the state has been read up to a moment after the request came
         std::optional<controller::UserResponse> answer;
     };
     using RequestPtr = std::shared_ptr<Request>;
     using Requests = std::vector<RequestPtr>;
     // Where the waiting requests go.
-    struct Sorted {
-        Requests batch;               // into the transaction
-        Requests known;               // submissions of known jobs, to be checked against the present state
-        std::deque<RequestPtr> rest;  // of no room in the transaction
+    struct ClassifiedRequests {
+        Requests batch;                   // into the transaction
+        Requests toVerify;                // submissions of known jobs, to be checked against the present state
+        std::deque<RequestPtr> deferred;  // of no room in the transaction
     };
 
     asio::awaitable<controller::UserResponse> enqueue(RequestPtr request);
     bool accepting() const;
     void refuse_all();
-    Sorted sort(state::TransactionBuilder& builder);
-    void sort_submission(state::TransactionBuilder& builder, const RequestPtr& request, Sorted& sorted);
-    void sort_cancellation(state::TransactionBuilder& builder, const RequestPtr& request, Sorted& sorted);
-    asio::awaitable<void> check_known(Requests known);
+    ClassifiedRequests classify(state::TransactionBuilder& builder);
+    void classify_submission(state::TransactionBuilder& builder, const RequestPtr& request,
+                             ClassifiedRequests& classified);
+    void classify_cancellation(state::TransactionBuilder& builder, const RequestPtr& request,
+                               ClassifiedRequests& classified);
+    asio::awaitable<void> verify_known(Requests toVerify);
     asio::awaitable<void> commit(state::Transaction transaction, Requests batch);
     void confirm(const Requests& batch);
     asio::awaitable<void> retry_or_refuse(store::Outcome outcome, Requests batch);
--- a/tests/service_membership_test.cpp
+++ b/tests/service_membership_test.cpp
@@ -24,7 +24,7 @@
     start(membership.run());
     ASSERT_TRUE(run_until(io, [this] { return core.member_revision() != 0; }));
     const std::uint64_t first = core.member_revision();
-    store.end_lease(membership.lease_id());
+    store.expire_lease(membership.lease_id());
     ASSERT_TRUE(run_until(io, [&] { return core.member_revision() > first; }));
     EXPECT_EQ(store.newest_lease(), 2u);
     EXPECT_EQ(membership.lease_id(), 2u);
@@ -36,7 +36,7 @@
     start(readBarrier.run());
     start(membership.run());
     ASSERT_TRUE(run_until(io, [this] { return membership.lease_id() == 1; }));
-    store.end_lease(1);  // before the registration arrives: it is refused
+    store.expire_lease(1);  // before the registration arrives: it is refused
     ASSERT_TRUE(run_until(io, [this] { return core.member_revision() != 0; }));
     EXPECT_EQ(membership.lease_id(), 2u);
     EXPECT_EQ(store.writes_of(state::keys::member("ctl-a")), 1);
--- a/tests/state_service_stand_in.hpp
+++ b/tests/state_service_stand_in.hpp
@@ -26,7 +26,7 @@
     void put(const std::string& path, const wire::Json& data) { write(path, data, ++revision_); }
 
     // Ends a lease: its keys vanish, and it is not known any more.
-    void end_lease(std::uint64_t lease) {
+    void expire_lease(std::uint64_t lease) {
         leases_.erase(lease);
         ++revision_;
         for (const auto& [path, holder] : std::map(attached_))
