--- a/src/service/answers.cpp
+++ b/src/service/answers.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr double kRetryAfterS = 1;
+constexpr double kRetryAfterS = 1;  // sent in the Retry-After header
 
 controller::UserResponse phase_response(int status, const std::string& id, const char* phase) {
     return {status, {{"ref", id}, {"phase", phase}}, 0};
@@ -28,8 +28,8 @@
     return {200, {{"baton", fencingToken}, {"orders", to_json(commands)}}, 0, ""};
 }
 
-api::Response to_response(const controller::UserResponse& answer) {
-    return {answer.status, answer.body, answer.retryAfterS, ""};
+api::Response to_response(const controller::UserResponse& response) {
+    return {response.status, response.body, response.retryAfterS, ""};
 }
 
 controller::UserResponse submitted_response(const std::string& id) {
--- a/src/service/answers.hpp
+++ b/src/service/answers.hpp
@@ -1,5 +1,5 @@
-// The answers to users and workers, in the words of the protocol (PROTOCOL, replies). Pure functions; built here rather
-// than in the coroutines, since GCC 12 cannot compile braced JSON initialisers inside them.
+// Builds the responses to users and workers (PROTOCOL, replies). Pure functions, kept apart from the coroutines because
+// GCC 12 cannot compile braced JSON initialisers inside a coroutine.
 #pragma once
 
 #include <cstdint>
@@ -12,30 +12,31 @@
 
 namespace wellstair::service {
 
-// A request that will never be accepted as it is, and why.
+// An error response with this status and reason, without Retry-After: repeating the same request will not help.
 api::Response refusal(int status, const std::string& reason);
 
-// 503 with Retry-After: not now, and why.
+// 503 with Retry-After and the reason.
 api::Response unavailable(const char* reason);
 
-// 421: the worker should send its heartbeats to this controller.
+// 421: the worker has to send its heartbeats to `leader` instead.
 api::Response redirect(const std::string& leader);
 
-// 200 to a heartbeat: the worker's lease is renewed, and these are its commands.
+// 200 to a heartbeat: renews the worker's lease, and carries the leader's fencing token and the commands.
 api::Response commands_response(std::uint64_t fencingToken, const std::vector<wire::Command>& commands);
 
-// An answer to a user as a response.
-api::Response to_response(const controller::UserResponse& answer);
+// Converts a response of the core into one of the HTTP server.
+api::Response to_response(const controller::UserResponse& response);
 
-// 201: the submission is durable.
+// 201 with phase `queued`: the submission is durable.
 controller::UserResponse submitted_response(const std::string& id);
 
-// 200: the cancellation is durable.
+// 200 with phase `aborted`: the cancellation is durable.
 controller::UserResponse cancelled_response(const std::string& id);
 
-// 503 with Retry-After, for a request in the queue.
+// 503 with Retry-After and the reason, for a request in the queue.
 controller::UserResponse unavailable_response(const char* reason);
 
-inline constexpr const char* kStateServiceNotResponding = "the state service does not answer";
+// Reason given to users while this controller has no confirmed contact with the state service.
+inline constexpr const char* kStateServiceNotResponding = "the state service is not responding; retry later";
 
 }  // namespace wellstair::service
--- a/src/service/availability_monitor.cpp
+++ b/src/service/availability_monitor.cpp
@@ -45,8 +45,8 @@
 
 void AvailabilityMonitor::log_change(const leadership::AvailabilitySignals& signals) const {
     spdlog::info(
-        "availability: registered {}, state service answered {:.3f} s ago, read {:.3f} s ago of {:.3f} s, others heard "
-        "{}, another has the state service {}",
+        "availability changes: registered {}, state service responded {:.3f} s ago, cancellations read {:.3f} s ago "
+        "(limit {:.3f} s), peer heard {}, peer reaches the state service {}",
         signals.registered, signals.storeContactAgeS, signals.cancellationsReadAgeS,
         leadership::answer_window(limits()), signals.peerHeard, signals.peerReachesStore);
 }
--- a/src/service/availability_monitor.hpp
+++ b/src/service/availability_monitor.hpp
@@ -1,6 +1,6 @@
-// This controller's own availability, from what the state service and the other controllers have told it.
-// Owns since when the controller has been disconnected. One io_context thread; no I/O, no errors.
-// The rules are `leadership/availability`.
+// Keeps the availability of this controller up to date from its contact with the state service and with the other
+// controllers. Collects the inputs; the rules are in `leadership/availability`.
+// Owns the time at which the controller became disconnected. One io_context thread; no I/O, no errors.
 #pragma once
 
 #include "leadership/availability.hpp"
@@ -18,11 +18,11 @@
                         const ReadBarrier& readBarrier, const PeerStatusExchange& peerStatus)
         : context_(context), store_(store), reader_(reader), readBarrier_(readBarrier), peerStatus_(peerStatus) {}
 
-    // Judges the availability anew, by the clock as it is now. To be called before anything that only a serving
-    // controller may do: a process that was suspended handles queued requests before its timers.
+    // Re-evaluates the availability at the present time. Must be called before every action that only a serving
+    // controller may take: a process that resumes after a suspension handles queued requests before its timers.
     void update();
 
-    // Whether the load balancer should send users here.
+    // Whether the load balancer should send users to this controller.
     bool healthy() const;
 
   private:
@@ -35,7 +35,7 @@
     const StateReader& reader_;
     const ReadBarrier& readBarrier_;
     const PeerStatusExchange& peerStatus_;
-    double disconnectedSinceS_ = 0;
+    double disconnectedSinceS_ = 0;  // steady clock
 };
 
 }  // namespace wellstair::service
--- a/src/service/cloud_loop.cpp
+++ b/src/service/cloud_loop.cpp
@@ -14,12 +14,13 @@
 namespace {
 
 constexpr double kIterationsPerHeartbeatInterval = 3;
-constexpr double kTypesValidS = 60;
-constexpr double kMinListIntervalS = 2, kListsPerListLag = 2;
-constexpr int kMaxRentCalls = 12;  // in one turn
-constexpr int kMaxRentAttempts = 2;
+constexpr double kTypesValidS = 60;      // after it the machine types are read again
+constexpr double kMinListIntervalS = 2;  // between two reads of the machine list
+constexpr double kListsPerListLag = 2;   // reads of the machine list within `list_lag_s`
+constexpr int kMaxRentCalls = 12;        // per iteration
+constexpr int kMaxRentAttempts = 2;      // per rent request
 
-// Built outside the coroutines: GCC 12 cannot compile such initialisers inside them.
+// Not part of a coroutine: GCC 12 cannot compile braced JSON initialisers inside one.
 Json type_list(const std::vector<wire::MachineType>& types) {
     Json list = Json::array();
     for (const auto& type : types) list.push_back(to_json(type));
@@ -44,7 +45,8 @@
         const double nowS = net::steady_now();
         co_await refresh_types(nowS);
         co_await refresh_machines(nowS);
-        // First what goes: the return of a machine that hangs with a cancelled task has a deadline, renting has none.
+        // Scale-in comes first: the return of a machine that hangs with a cancelled task has a deadline, renting has
+        // none.
         co_await scale_in();
         co_await scale_out();
     }
@@ -54,7 +56,7 @@
     state::TransactionBuilder builder = context_.core.new_transaction();
     context_.core.take_cloud_role(builder, membership_.lease_id());
     co_await commit(std::move(builder));
-    if (context_.core.holds_cloud_role()) spdlog::info("took the cloud role");
+    if (context_.core.holds_cloud_role()) spdlog::info("acquired the cloud role");
 }
 
 asio::awaitable<void> CloudLoop::refresh_types(double nowS) {
@@ -69,7 +71,8 @@
     controller::Core& core = context_.core;
     Json list = type_list(types);
     if (const std::size_t size = list.dump().size(); size > core.state_limits().value_bytes()) {
-        spdlog::error("{} of {} bytes is larger than a value may be: not written", keys::kMachineTypes, size);
+        spdlog::error("{} not written: its {} bytes exceed the limit of {} bytes for a value", keys::kMachineTypes,
+                      size, core.state_limits().value_bytes());
         co_return;
     }
     state::TransactionBuilder builder = core.new_transaction();
@@ -92,13 +95,14 @@
     if (due.empty() || !may_call()) co_return;
     const bool returned = co_await cloud_.return_hosts(due);
     if (!returned) co_return;
-    spdlog::info("scaled in {} machines, first {}", due.size(), due.front());
+    spdlog::info("returned {} machines to the cloud, the first is {}", due.size(), due.front());
     state::TransactionBuilder builder = context_.core.new_transaction();
     context_.core.mark_gone(builder, due, now());
     co_await commit(std::move(builder));
 }
 
-// One request at a time, and a new look after each: what one kind cannot give, the next may.
+// Sends one rent request at a time and determines the remaining ones after each: what one offer cannot provide, the
+// next may.
 asio::awaitable<void> CloudLoop::scale_out() {
     controller::Core& core = context_.core;
     core.plan_scale_out(now());
@@ -120,12 +124,12 @@
         result = co_await cloud_.rent(requestId, request.machineType, request.zone, request.spot, request.number);
         if (result.kind != RentResult::Kind::failed) break;
     }
-    spdlog::info("scale out {} {} in {}{}: {} machines", request.number, request.machineType, request.zone,
-                 request.spot ? " (spot)" : "", result.hosts.size());
+    spdlog::info("scale-out: requested {} {} in zone {}{}, granted {} machines", request.number, request.machineType,
+                 request.zone, request.spot ? " (spot)" : "", result.hosts.size());
     co_return result;
 }
 
-// Never used again, not even by another process: it carries the incarnation.
+// Unique across processes because it contains the incarnation.
 std::string CloudLoop::next_request_id() {
     return "r-" + std::to_string(context_.core.incarnation()) + "-" + std::to_string(++rentRequestCount_);
 }
--- a/src/service/cloud_loop.hpp
+++ b/src/service/cloud_loop.hpp
@@ -1,8 +1,8 @@
-// The calls to the cloud, by the one controller that holds the cloud role: machine types, the list of machines, scale
-// in and scale out. Owns when types and list were last read, and the numbering of requests for machines.
-// One io_context thread. Whether the role is still held is judged before each call, which may take seconds.
-// Errors: a call that fails is made again in a later turn of the loop; a request for machines is repeated once under
-// the same name, by which the cloud knows it as the same request.
+// Calls the cloud API while this controller holds the cloud role: machine types, machine list, scale-in and scale-out.
+// Owns the times of the last reads, and the counter for the ids of rent requests.
+// One io_context thread. A call may take seconds, so the role is checked again before each one.
+// Errors: a failed call is repeated in a later iteration of the loop. A rent request is retried once with the same id,
+// by which the cloud recognises the duplicate.
 #pragma once
 
 #include <cstdint>
@@ -15,6 +15,7 @@
 #include "service/loop_context.hpp"
 #include "service/membership_loop.hpp"
 #include "service/read_barrier.hpp"
+#include "workers/host_tracker.hpp"
 
 namespace wellstair::service {
 
@@ -29,10 +30,11 @@
           readBarrier_(readBarrier),
           committer_(committer) {}
 
-    // Takes the role when it is free and does its work, for ever.
+    // Acquires the role when it is free, and performs its calls while it is held. Never returns.
     asio::awaitable<void> run();
 
   private:
+    // Re-evaluates the availability and returns whether this controller may call the cloud now.
     bool may_call();
     asio::awaitable<void> acquire_role();
     asio::awaitable<void> refresh_types(double nowS);
@@ -42,6 +44,7 @@
     asio::awaitable<void> scale_out();
     asio::awaitable<cloud::RentResult> rent(controller::ScaleOutRequest request);
     asio::awaitable<void> commit(state::TransactionBuilder builder);
+    // An id for a rent request that no process of any controller uses a second time.
     std::string next_request_id();
 
     LoopContext context_;
@@ -50,7 +53,7 @@
     AvailabilityMonitor& availability_;
     ReadBarrier& readBarrier_;
     Committer& committer_;
-    double lastTypesReadS_ = -1e9, lastMachinesReadS_ = -1e9;  // steady clock
+    double lastTypesReadS_ = workers::kNeverS, lastMachinesReadS_ = workers::kNeverS;  // steady clock
     std::uint64_t rentRequestCount_ = 0;
 };
 
--- a/src/service/command_sender.cpp
+++ b/src/service/command_sender.cpp
@@ -7,7 +7,7 @@
 namespace wellstair::service {
 
 namespace {
-constexpr double kTimeoutPerHeartbeatInterval = 0.6;  // the next heartbeat brings the command again
+constexpr double kTimeoutPerHeartbeatInterval = 0.6;  // the response to the next heartbeat repeats the commands
 }  // namespace
 
 void CommandSender::send_due() {
@@ -35,7 +35,8 @@
     if (result.heartbeat && result.heartbeat->host == delivery.host)
         core.handle_command_reply(*result.heartbeat, now());
     core.on_commands_answered(delivery.host, delivery.commands, result.answered, delivery.fencingToken);
-    if (!result.answered) spdlog::info("no answer from {} to {} commands", delivery.host, delivery.commands.size());
+    if (!result.answered)
+        spdlog::info("host {} did not respond to {} commands sent to it", delivery.host, delivery.commands.size());
     context_.signals.roundDue.notify();
 }
 
--- a/src/service/command_sender.hpp
+++ b/src/service/command_sender.hpp
@@ -1,6 +1,7 @@
-// Sends the commands that should not wait for their machines' next heartbeats.
-// Owns nothing of its own; each command under way is a coroutine. One io_context thread.
-// Errors: a command without an answer may still be executed later; the core is told so, and proposes it again.
+// Sends commands that should not wait for the next heartbeat directly to their hosts.
+// Stateless; each delivery in flight is a coroutine. One io_context thread.
+// Errors: commands without a response may still be executed later. This is reported to the core, which proposes them
+// again.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +17,12 @@
   public:
     CommandSender(LoopContext context, workers::CommandChannels& channels) : context_(context), channels_(channels) {}
 
-    // Starts to send all commands that are due, as far as there are connections for them.
+    // Starts the deliveries of all commands that are due. Hosts with a request in flight, or without a free connection,
+    // are left for a later call.
     void send_due();
 
   private:
-    // What goes to one machine, and under which fencing token and session of its agent.
+    // The commands for one host, with the fencing token and the agent epoch that they are sent under.
     struct Delivery {
         std::string host, address;
         std::uint64_t fencingToken = 0, agentEpoch = 0;
--- a/src/service/committer.cpp
+++ b/src/service/committer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// What a transaction writes.
+// The keys that a transaction sets or removes.
 struct WrittenKeys {
     std::vector<std::string> keys;
     std::string sizes;  // for the log: each key with the size of its value
@@ -33,7 +33,8 @@
     if (!spdlog::should_log(spdlog::level::debug)) return;
     std::string summary;
     for (const auto& action : transaction.summary) summary += action + "; ";
-    spdlog::debug("{}: {}{} at {}", to_string(source), summary, to_string(result.outcome), result.revision);
+    spdlog::debug("{} transaction: {}{} at revision {}", to_string(source), summary, to_string(result.outcome),
+                  result.revision);
 }
 
 }  // namespace
@@ -60,8 +61,8 @@
 
 void Committer::handle_malformed(const state::Transaction& transaction) {
     const WrittenKeys written = written_keys(transaction);
-    spdlog::error("the state service refused {} operations, {} conditions: {}", transaction.writes,
-                  transaction.body["when"].size(), written.sizes);
+    spdlog::error("the state service rejected a transaction as malformed: {} writes, {} preconditions, keys {}",
+                  transaction.writes, transaction.body["when"].size(), written.sizes);
     context_.core.handle_rejected_transaction(written.keys, now());
     update_write_rate();
 }
--- a/src/service/committer.hpp
+++ b/src/service/committer.hpp
@@ -1,7 +1,7 @@
-// Commits this controller's transactions, logs them, and keeps to the limits of the state service.
-// Owns nothing of its own. One io_context thread.
-// Errors: every outcome is returned to the caller, who decides what to read back; a transaction that was refused as
-// malformed is also told to the core, so that its keys are left alone for a while.
+// Commits this controller's transactions, logs them, and applies the write limit of the state service.
+// Stateless. One io_context thread.
+// Errors: every outcome is returned to the caller, who decides whether to read the state back. A transaction that was
+// rejected as malformed is also reported to the core, which does not write its keys for a while.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 
 namespace wellstair::service {
 
-// Which loop a transaction is of, for the log.
+// The loop that a transaction comes from, for the log.
 enum class TransactionSource : std::uint8_t { round, users, cloud };
 
-// The source's name in the log.
+// The name of the source in the log.
 const char* to_string(TransactionSource source);
 
 class Committer {
   public:
     Committer(LoopContext context, store::Client& store) : context_(context), store_(store) {}
 
-    // Commits a transaction, which must live until the result is there.
+    // Commits a transaction, which must outlive the call.
     asio::awaitable<store::CommitResult> commit(TransactionSource source, const state::Transaction& transaction);
 
-    // Sets the rate of writes by the limits that hold now; they may change while the controller runs.
+    // Sets the write rate to the current limit, which may change while the controller runs.
     void update_write_rate();
 
   private:
--- a/src/service/heartbeat_api.hpp
+++ b/src/service/heartbeat_api.hpp
@@ -1,7 +1,7 @@
-// The workers' heartbeats. A machine that comes for the first time is answered when its registration is durable.
-// Owns nothing of its own. One io_context thread.
-// Errors (PROTOCOL, workers): 400 for what is not a heartbeat, 421 when another controller leads the machine, 503 with
-// Retry-After when this one may not act for the controllers now, or the registration takes too long.
+// Handles the heartbeats of workers. The first heartbeat of a host is answered once its registration is durable.
+// Stateless. One io_context thread.
+// Errors (PROTOCOL, workers): 400 for an invalid heartbeat, 421 if another controller leads the host, 503 with
+// Retry-After if this controller may not answer heartbeats now or the registration takes too long.
 #pragma once
 
 #include <string>
--- a/src/service/loop_context.cpp
+++ b/src/service/loop_context.cpp
@@ -18,7 +18,7 @@
         try {
             std::rethrow_exception(error);
         } catch (const std::exception& e) {
-            spdlog::critical("unexpected exception: {}", e.what());
+            spdlog::critical("terminating after an unexpected exception: {}", e.what());
             std::_Exit(kExitOnUnexpectedException);
         }
     });
--- a/src/service/loop_context.hpp
+++ b/src/service/loop_context.hpp
@@ -1,6 +1,6 @@
-// What every loop of the controller works with: the event loop, the settings, the decisions, and the signals between
-// the loops. Owns the signals alone; the rest belongs to the composition root and outlives every loop.
-// Everything in this package runs on the one thread of the io_context, so nothing here is locked.
+// What the loops of the controller share: the io_context, the settings, the core, and the signals between the loops.
+// Owns only the signals; `Service` owns the rest, which outlives every loop.
+// Everything in this package runs on the one thread of the io_context, so that no locks are needed.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,16 +15,16 @@
 
 namespace asio = boost::asio;
 
-// How long a request to the state service may take, seconds: it answers "usually under 10 ms, occasionally a few
-// hundred".
+// Time-out of a request to the state service, in seconds. The service usually responds in less than 10 ms, and
+// occasionally in a few hundred.
 inline constexpr double kStoreTimeoutS = 1.0;
 
-// What the loops tell one another.
+// Notifications between the loops.
 struct Signals {
     explicit Signals(asio::io_context& io) : stateChanged(io), roundDue(io) {}
 
-    net::Signal stateChanged;  // the cached state has moved on, or a user's request has been answered
-    net::Signal roundDue;      // there may be something to decide
+    net::Signal stateChanged;  // the cached state has been updated, or a user's request has been answered
+    net::Signal roundDue;      // the core may have a transaction to propose
 };
 
 // References to what the loops share.
@@ -35,13 +35,13 @@
     Signals& signals;
 };
 
-// The present moment on both clocks.
+// The present time on the steady clock and the wall clock.
 inline controller::Timestamp now() {
     return {net::steady_now(), net::wall_now()};
 }
 
-// Runs a coroutine on the io_context. One that ends by an exception ends the process with exit code 3: a process
-// without one of its loops would be half alive, and the state service has everything that must last.
+// Runs a coroutine on the io_context. An exception that leaves it terminates the process with exit code 3: without one
+// of its loops the controller would work only in part, and all durable data is in the state service.
 void spawn(asio::io_context& io, asio::awaitable<void> work);
 
 }  // namespace wellstair::service
--- a/src/service/membership_loop.cpp
+++ b/src/service/membership_loop.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-// Of the workers' lease: a dead controller's jobs are taken up within it.
+// As a part of the worker lease: the jobs of a failed controller are taken over within one worker lease.
 constexpr double kMemberTtlPerLease = 0.25;
-constexpr double kRenewalIntervalPerTtl = 1.0 / 3;  // two renewals may fail
-constexpr double kStateWaitS = 0.2;                 // for the state to be read
+constexpr double kRenewalIntervalPerTtl = 1.0 / 3;  // two renewals may fail before the lease expires
+constexpr double kStateWaitS = 0.2;                 // between checks whether the state has been loaded
 constexpr double kGrantRetryS = 0.2, kRegistrationRetryS = 0.1, kRenewalRetryS = 0.1;
 
-// Built outside the coroutines: GCC 12 cannot compile such initialisers inside them.
+// Not part of a coroutine: GCC 12 cannot compile braced JSON initialisers inside one.
 Json registration(const std::string& name, std::uint64_t revision, const state::MemberData& member,
                   std::uint64_t leaseId) {
     const std::string path = state::keys::member(name);
@@ -84,7 +84,7 @@
         renewal = co_await store_.renew(leaseId_, kStoreTimeoutS);
     }
     if (renewal == Renewal::ended) {
-        spdlog::info("the member lease has ended");
+        spdlog::info("member lease {} has expired, acquiring a new one", leaseId_);
         forget_lease();
         co_await readBarrier_.wait(kStoreTimeoutS);
     }
--- a/src/service/membership_loop.hpp
+++ b/src/service/membership_loop.hpp
@@ -1,7 +1,7 @@
-// This controller's membership: a lease of the state service, and the member's record that is attached to it. The
-// record vanishes with the lease, by which the other controllers learn that this one has ended.
+// Maintains this controller's membership: a lease of the state service, and the member key attached to it. The key is
+// removed when the lease expires, which tells the other controllers that this process is gone.
 // Owns the id of the lease. One io_context thread.
-// Errors: what fails is tried again after a short, random pause; a lease that has ended is replaced by a new one.
+// Errors: a failed request is retried after a short pause; an expired lease is replaced by a new one.
 #pragma once
 
 #include <cstdint>
@@ -19,13 +19,13 @@
                    AvailabilityMonitor& availability)
         : context_(context), store_(store), readBarrier_(readBarrier), availability_(availability) {}
 
-    // Acquires the lease, registers, and renews, for ever.
+    // Acquires the lease, registers under it, and renews it. Never returns.
     asio::awaitable<void> run();
 
-    // The lease that keys of this process are attached to; 0: none.
+    // The lease that the keys of this process are attached to; 0 if there is none.
     std::uint64_t lease_id() const { return leaseId_; }
 
-    // The state service does not know the lease any more: a new one is acquired.
+    // Discards the lease, which the state service no longer knows, so that a new one is acquired.
     void forget_lease() { leaseId_ = 0; }
 
   private:
--- a/src/service/peer_status_exchange.cpp
+++ b/src/service/peer_status_exchange.cpp
@@ -3,12 +3,12 @@
 namespace wellstair::service {
 
 namespace {
-constexpr double kOwnStatusValidS = 0.3;  // packets go out twice a second
+constexpr double kOwnStatusValidS = 0.3;  // shorter than the interval between packets, which go out twice a second
 }  // namespace
 
 peers::PeerStatus PeerStatusExchange::own_status(const std::string& receiver) {
     controller::Core& core = context_.core;
-    // Put together once for all who are told in the same moment: it looks at every machine.
+    // Shared by the packets to all receivers that are sent together, since building it iterates over all hosts.
     if (net::steady_now() - ownStatusBuiltS_ > kOwnStatusValidS) {
         ownStatusBuiltS_ = net::steady_now();
         ownStatus_ = core.own_peer_status(0, now());
@@ -16,8 +16,8 @@
     }
     ownStatus_.storeContactAgeS = net::steady_now() - store_.last_ok();
     ownStatus_.serving = core.availability() == state::Availability::serving;
-    // The answer and the cancellations that it vouches for are of one moment. Without a cached state there is no
-    // answer.
+    // The acknowledgement covers the cancellations in the same packet, so both are taken at the same time. Without a
+    // loaded state nothing is acknowledged.
     ownStatus_.acknowledged = core.state_ready() ? newestRequests_[receiver] : 0;
     ownStatus_.cancelled = core.cancellations();
     return ownStatus_;
--- a/src/service/peer_status_exchange.hpp
+++ b/src/service/peer_status_exchange.hpp
@@ -1,7 +1,8 @@
-// What this controller tells the others in its status packets, and takes from theirs. Also asks the others what they
-// have confirmed: the answers of all of them vouch for the cancellations known here without the state service.
-// Owns the own packet of the moment, the newest question of each other controller, and the answers to our questions.
-// One io_context thread. The packets' bytes are `peers/packet`, their transport `peers/peer_network`.
+// Builds the status packets for the other controllers and processes theirs. Each packet also asks for an
+// acknowledgement: once all other controllers have acknowledged it, the cancellations known here are complete up to the
+// time of the request, without the state service.
+// Owns the current status packet, the number of the newest request of each peer, and the acknowledgements of our own
+// requests. One io_context thread. `peers/packet` encodes the packets, `peers/peer_network` transports them.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +13,7 @@
 #include "peers/packet.hpp"
 #include "service/loop_context.hpp"
 #include "store/client.hpp"
+#include "workers/host_tracker.hpp"
 
 namespace wellstair::service {
 
@@ -20,22 +22,22 @@
     PeerStatusExchange(LoopContext context, const store::Client& store)
         : context_(context), store_(store), cancellationBarrier_(context.core.incarnation()) {}
 
-    // The packet for one of the other controllers, as of now.
+    // The status packet for the member `receiver` at the present time.
     peers::PeerStatus own_status(const std::string& receiver);
 
-    // Takes in a packet of another controller.
+    // Processes a status packet of another controller.
     void receive(const peers::PeerStatus& status);
 
-    // Up to when the others have told every cancellation that they confirmed.
+    // Tells up to what time all cancellations confirmed by the other controllers are known here.
     const leadership::CancellationReadBarrier& cancellation_barrier() const { return cancellationBarrier_; }
 
   private:
     LoopContext context_;
     const store::Client& store_;
     leadership::CancellationReadBarrier cancellationBarrier_;
-    std::map<std::string, std::uint64_t> newestRequests_;  // of each other controller
+    std::map<std::string, std::uint64_t> newestRequests_;  // request numbers, by member
     peers::PeerStatus ownStatus_;
-    double ownStatusBuiltS_ = -1e9;
+    double ownStatusBuiltS_ = workers::kNeverS;  // steady clock
 };
 
 }  // namespace wellstair::service
--- a/src/service/periodic_checks.cpp
+++ b/src/service/periodic_checks.cpp
@@ -17,7 +17,7 @@
         availability_.update();
         committer_.update_write_rate();
         log_statistics();
-        // Connections to machines that are gone, or led elsewhere, would use up the sockets in the long run.
+        // Otherwise connections to hosts that are gone or led by another controller would exhaust the sockets.
         channels_.prune([this](const std::string& host) { return context_.core.tracker(host) != nullptr; });
     }
 }
--- a/src/service/periodic_checks.hpp
+++ b/src/service/periodic_checks.hpp
@@ -1,5 +1,5 @@
-// What time alone makes due: the availability, the write rate, the statistics in the log, and unused connections.
-// Owns when the statistics were last logged. One io_context thread; no errors.
+// Periodic work: updates the availability and the write rate, logs statistics, and closes unused connections to hosts.
+// Owns the time at which the statistics were last logged. One io_context thread; no errors.
 #pragma once
 
 #include "service/availability_monitor.hpp"
@@ -15,7 +15,7 @@
                    workers::CommandChannels& channels)
         : context_(context), availability_(availability), committer_(committer), channels_(channels) {}
 
-    // Checks several times a second, for ever.
+    // Runs the checks several times a second. Never returns.
     asio::awaitable<void> run();
 
   private:
@@ -25,7 +25,7 @@
     AvailabilityMonitor& availability_;
     Committer& committer_;
     workers::CommandChannels& channels_;
-    double lastLoggedS_ = 0;
+    double lastLoggedS_ = 0;  // steady clock
 };
 
 }  // namespace wellstair::service
--- a/src/service/read_barrier.cpp
+++ b/src/service/read_barrier.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr double kIdleReadS = 0.5;       // without anybody asking, a read is sent so often
+constexpr double kIdleReadS = 0.5;       // interval of reads without a caller
 constexpr double kMinPauseS = 0.001;     // between two reads
-constexpr double kWatchLatencyS = 0.01;  // the followed changes usually bring our own write within this time
+constexpr double kWatchLatencyS = 0.01;  // the watch usually delivers this controller's own write within this time
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     for (;;) {
         if (!read_pending()) {
             co_await readRequested_.wait(kIdleReadS);
-            // Following the changes alone would not notice a state service that is gone.
+            // The watch alone would not notice an outage of the state service.
             if (!read_pending() && net::steady_now() - reader_.last_read_s() < kIdleReadS) continue;
         }
         const double startS = net::steady_now();
@@ -51,7 +51,7 @@
 
 asio::awaitable<bool> ReadBarrier::wait(double timeoutS) {
     const double deadlineS = net::steady_now() + timeoutS;
-    // The read that is under way was sent before this call: it takes the next.
+    // A read in flight was sent before this call and may miss later writes, so the next one is waited for.
     requested_ = std::max(requested_, started_ + 1);
     const std::uint64_t number = requested_;
     readRequested_.notify();
--- a/src/service/read_barrier.hpp
+++ b/src/service/read_barrier.hpp
@@ -1,7 +1,7 @@
-// Reads of the state up to the present moment: whoever waits for one sees every write that was confirmed to anybody
-// before it asked. One read serves all who asked before it was sent.
-// Owns the numbering of reads, and since when reads have failed. One io_context thread.
-// Errors: a barrier fails (false) when its read does, or when its time is over; who asked answers or tries again.
+// Linearizable reads of the cached state: a caller that has waited for the barrier sees every write that was confirmed
+// to anyone before its call. One read of the state service serves all callers that arrived before it was sent.
+// Owns the numbers of the reads, and the time since which reads have failed. One io_context thread.
+// Errors: `wait` returns false if the read fails or the time-out passes; the caller reports that or retries.
 #pragma once
 
 #include <algorithm>
@@ -17,16 +17,18 @@
     ReadBarrier(LoopContext context, store::Client& store, StateReader& reader)
         : context_(context), store_(store), reader_(reader), readRequested_(context.io), readFinished_(context.io) {}
 
-    // Sends the reads, for ever; one also when nobody asks, so that a state service that is gone is noticed.
+    // Sends the reads, also at intervals without a caller, so that an outage of the state service is noticed. Never
+    // returns.
     asio::awaitable<void> run();
 
-    // True once the cached state holds everything confirmed up to this call; false on failure or after `timeoutS`.
+    // Returns true once the cached state includes every write confirmed before this call, false on failure or after
+    // `timeoutS` seconds.
     asio::awaitable<bool> wait(double timeoutS);
 
-    // True once the cached state has reached the revision; false after `timeoutS` seconds.
+    // Returns true once the cached state has reached the revision, false after `timeoutS` seconds.
     asio::awaitable<bool> wait_for_revision(std::uint64_t revision, double timeoutS);
 
-    // When the first of the reads that have failed in a row was begun, seconds on the steady clock; 0: the last
+    // When the first of the current series of failed reads was sent, in seconds on the steady clock; 0 if the last read
     // succeeded.
     double failed_since_s() const { return failedSinceS_; }
 
@@ -38,7 +40,7 @@
     store::Client& store_;
     StateReader& reader_;
     net::Signal readRequested_, readFinished_;
-    // Numbers of reads: the newest that somebody waits for, that was sent, that succeeded, that failed.
+    // By number: the newest read that was requested, that was sent, that succeeded and that failed.
     std::uint64_t requested_ = 0, started_ = 0, succeeded_ = 0, failed_ = 0;
     double failedSinceS_ = 0;
 };
--- a/src/service/round_loop.cpp
+++ b/src/service/round_loop.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr double kMaxIdleS = 0.5;      // time alone changes things, too
-constexpr double kWritesPerRound = 4;  // a round waits until it may write so much
-constexpr double kMaxWriteWaitS = 0.5;
-constexpr double kPausePerComputeTime = 3;  // at most a quarter of the time is spent on deciding
+constexpr double kMaxIdleS = 0.5;           // without a signal: deadlines and leases pass without one
+constexpr double kWritesPerRound = 4;       // a round waits until this many writes are allowed
+constexpr double kMaxWriteWaitS = 0.5;      // after it the round runs with fewer writes allowed
+constexpr double kPausePerComputeTime = 3;  // limits decisions to a quarter of the thread's time
 constexpr double kMinPauseS = 0.01;
 constexpr double kMaxPausePerHeartbeatInterval = 1.0 / 6;
 constexpr double kBusyRetryS = 0.1;
@@ -28,17 +28,16 @@
         double computeS = 0;
         if (core.availability() == state::Availability::serving && core.state_ready())
             computeS = co_await decide(startS);
-        // Whatever the availability: what is known to be cancelled is stopped in an outage as well.
+        // Independent of the availability: tasks of cancelled jobs have to be stopped during an outage, too.
         startS = net::steady_now();
         commands_.send_due();
         computeS += net::steady_now() - startS;
-        // Under load rounds come further apart, and each takes more with it.
+        // Under load, rounds are further apart and each covers more changes.
         const double maxPauseS = context_.settings.heartbeatIntervalS * kMaxPausePerHeartbeatInterval;
         co_await net::sleep_for(context_.io, std::clamp(kPausePerComputeTime * computeS, kMinPauseS, maxPauseS));
     }
 }
 
-// Returns how long the core took, seconds.
 asio::awaitable<double> RoundLoop::decide(double startS) {
     const double waitS = store_.writes().wait_for(kWritesPerRound, startS);
     if (waitS > 0) co_await net::sleep_for(context_.io, std::min(waitS, kMaxWriteWaitS));
@@ -56,7 +55,7 @@
         co_await readBarrier_.wait_for_revision(result.revision, kCatchUpTimeoutS);
         co_return;
     }
-    // Refused or unknown: read back before the next decision.
+    // Rejected, or the outcome is unknown: the state is read before the next decision.
     if (result.outcome == Outcome::busy || result.outcome == Outcome::unavailable)
         co_await net::sleep_for(context_.io, net::jitter(kBusyRetryS));
     co_await readBarrier_.wait(kStoreTimeoutS);
--- a/src/service/round_loop.hpp
+++ b/src/service/round_loop.hpp
@@ -1,7 +1,7 @@
-// The rounds of the controller: each lets the core propose one transaction, commits it, and sends the commands that are
-// due. Owns nothing of its own. One io_context thread.
-// Errors: when a transaction does not apply, or it is not known whether it did, the state is read up to the present
-// moment and everything is proposed anew.
+// Runs the rounds of the controller: in each, the core proposes one transaction, which is committed, and the commands
+// that are due are sent. Stateless. One io_context thread.
+// Errors: after a transaction that was not applied, or whose outcome is unknown, the state is read again through the
+// read barrier and everything is proposed anew.
 #pragma once
 
 #include "service/command_sender.hpp"
@@ -23,10 +23,12 @@
           committer_(committer),
           commands_(commands) {}
 
-    // Runs rounds, for ever.
+    // Runs rounds. Never returns.
     asio::awaitable<void> run();
 
   private:
+    // Waits until writes are possible, lets the core propose a transaction, and commits it. Returns the time that the
+    // core took, in seconds.
     asio::awaitable<double> decide(double startS);
     asio::awaitable<void> commit(state::Transaction transaction);
 
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Of max_sockets; the rest is for the state service, the cloud and the other controllers.
+// Shares of `max_sockets`; the rest is for the state service, the cloud and the other controllers.
 constexpr double kServerSocketShare = 0.92, kCommandSocketShare = 0.05;
 
 std::uint64_t random_incarnation() {
@@ -17,8 +17,8 @@
     return (static_cast<std::uint64_t>(device()) << 20) ^ device();
 }
 
-std::size_t sockets(const config::Settings& settings, double part) {
-    return static_cast<std::size_t>(part * settings.maxSockets);
+std::size_t sockets(const config::Settings& settings, double share) {
+    return static_cast<std::size_t>(share * settings.maxSockets);
 }
 
 }  // namespace
--- a/src/service/service.hpp
+++ b/src/service/service.hpp
@@ -1,7 +1,6 @@
-// One controller: joins the decisions of the core with the protocols. Each loop and each kind of request is a class of
-// its own; this one builds them, connects them and starts them.
-// Owns everything that runs. All of it runs on the one thread of the io_context.
-// Errors: the constructor throws when an address cannot be bound; a loop that fails ends the process.
+// Composition root of a controller: constructs, connects and starts the core, the loops and the request handlers.
+// Owns all of them. Everything runs on the one thread of the io_context.
+// Errors: the constructor throws if an address cannot be bound; an exception in a loop terminates the process.
 #pragma once
 
 #include <cstdint>
@@ -31,13 +30,13 @@
 
 class Service {
   public:
-    // Binds the two addresses of the settings, which must outlive the service.
+    // Binds the public and the internal address of the settings, which must outlive the service.
     Service(asio::io_context& io, const config::Settings& settings, controller::Tunables tunables);
 
-    // Starts listening and all loops; they run while the io_context does.
+    // Starts the servers and all loops, which run as long as the io_context does.
     void start();
 
-    // The port on which users and workers reach it.
+    // The port on which users and workers reach this controller.
     std::uint16_t port() const { return server_.port(); }
 
   private:
--- a/src/service/state_reader.cpp
+++ b/src/service/state_reader.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <stdexcept>
+#include <string>
 
 namespace wellstair::service {
 
@@ -12,7 +13,8 @@
 namespace {
 
 constexpr double kMeanRetryPauseS = 0.2;  // mean pause after a failed read
-constexpr double kLongPollS = 5, kLongPollTimeoutS = 6.5;
+constexpr double kLongPollS = 5;          // the state service responds after this time if nothing changes
+constexpr double kLongPollTimeoutS = 6.5;
 constexpr double kRequestKinds = 4;  // kinds of requests that share the rate evenly
 
 }  // namespace
@@ -37,14 +39,14 @@
     core.reset_state();
     ++loadCount_;
     const double wallS = net::wall_now();
-    // Pages are read one after the other: the changes are followed from the first one's revision, and the cached state
-    // counts as ready once it has caught up with the last one's.
+    // The pages are read one after the other, at different revisions. Changes are applied from the revision of the
+    // first page on, and the cached state is consistent once it has reached the revision of the last page.
     auto revisions = co_await store_.read_all(state::keys::kPrefix, [&core, wallS](const store::Change& change) {
         core.state().apply(change.path, change.data ? &*change.data : nullptr, change.revision, wallS);
     });
     if (!revisions) co_return false;
     core.state().advance(revisions->first);
-    do {  // once at least: the age of the cached state counts from this read
+    do {  // at least once: the age of the cached state is measured from this read
         auto read = co_await store_.follow(state::keys::kPrefix, core.state().revision(), 0, kStoreTimeoutS);
         if (read.kind != FollowResult::Kind::ok) co_return false;
         apply(read);
@@ -52,7 +54,7 @@
     require_same_layout();
     core.set_state_ready(true);
     context_.signals.stateChanged.notify();
-    spdlog::info("read the state at revision {}: {} open jobs, {} hosts", core.state().revision(),
+    spdlog::info("loaded the state at revision {}: {} open jobs, {} hosts", core.state().revision(),
                  core.state().queue().size(), core.state().hosts().size());
     co_return true;
 }
@@ -62,7 +64,10 @@
     const state::LayoutRecord own = context_.core.own_layout();
     if (!stored.version) return;
     if (stored.chunkSize != own.chunkSize || stored.shardWidth != own.shardWidth)
-        throw std::runtime_error("state.value_kb differs from the one that the stored keys were made with");
+        throw std::runtime_error(
+            "state.value_kb does not match the stored keys, which use chunk size " + std::to_string(stored.chunkSize) +
+            " and shard width " + std::to_string(stored.shardWidth) + " instead of " + std::to_string(own.chunkSize) +
+            " and " + std::to_string(own.shardWidth) + "; use the value of the running controllers");
 }
 
 asio::awaitable<void> StateReader::follow_once() {
@@ -86,16 +91,16 @@
 
 void StateReader::apply(const FollowResult& read) {
     state::StateCache& state = context_.core.state();
-    bool moved = false;
+    bool changed = false;
     const double wallS = net::wall_now();
     for (const auto& change : read.changes) {
         if (change.revision <= state.revision()) continue;
         state.apply(change.path, change.data ? &*change.data : nullptr, change.revision, wallS);
-        moved = true;
+        changed = true;
     }
     state.advance(read.revision);
     lastReadS_ = std::max(lastReadS_, read.sentS);
-    if (moved) {
+    if (changed) {
         context_.core.request_round();
         context_.signals.roundDue.notify();
     }
@@ -104,7 +109,7 @@
 
 void StateReader::apply_own(const state::Transaction& transaction, std::uint64_t revision) {
     if (revision != context_.core.state().revision() + 1) return;
-    FollowResult written;  // without a time of sending: a write tells nothing of what others have written
+    FollowResult written;  // `sentS` stays unset: a write does not show what other controllers have written
     written.revision = revision;
     for (const wire::Json& operation : transaction.body["apply"]) {
         const bool sets = operation.contains("set");
--- a/src/service/user_api.cpp
+++ b/src/service/user_api.cpp
@@ -8,7 +8,6 @@
 
 using api::Response;
 
-// The cached state holds everything that was confirmed to anybody up to now.
 asio::awaitable<bool> UserApi::state_is_current() {
     availability_.update();
     if (context_.core.availability() != state::Availability::serving) co_return false;
@@ -16,7 +15,6 @@
     co_return current;
 }
 
-// What a repeated submission of the job is answered with; nothing if the job is not known.
 asio::awaitable<std::optional<Response>> UserApi::repeat_response(std::string id) {
     const bool current = co_await state_is_current();
     if (!current) co_return unavailable(kStateServiceNotResponding);
@@ -26,25 +24,23 @@
 
 asio::awaitable<Response> UserApi::submit(std::string bytes) {
     auto body = wire::decode(bytes);
-    if (!body) co_return refusal(400, "the body must be MessagePack without binary data");
-    if (!body->is_object()) co_return refusal(400, "the body must be a map");
+    if (!body) co_return refusal(400, "the request body must be MessagePack without binary values");
+    if (!body->is_object()) co_return refusal(400, "the request body must be a MessagePack map");
     auto parsed = wire::parse_job(*body);
     std::optional<Response> refused = rejection(parsed);
     if (refused) co_return co_await refuse(std::move(*body), std::move(*refused));
     co_return co_await accept(std::get<wire::JobSpec>(std::move(parsed)));
 }
 
-// Why the submission cannot be accepted; nothing if it can.
 std::optional<Response> UserApi::rejection(const ParsedJob& parsed) const {
     if (auto* invalid = std::get_if<wire::JobSpecError>(&parsed)) return refusal(400, invalid->reason);
-    bool unsure = false;
-    auto never = context_.core.infeasibility_reason(std::get<wire::JobSpec>(parsed), unsure);
-    if (never) return refusal(422, *never);
-    if (unsure) return unavailable("the machine types are not known yet");
+    bool undetermined = false;
+    auto infeasible = context_.core.infeasibility_reason(std::get<wire::JobSpec>(parsed), undetermined);
+    if (infeasible) return refusal(422, *infeasible);
+    if (undetermined) return unavailable("the machine types have not been read yet; retry later");
     return std::nullopt;
 }
 
-// Refuses a submission, unless it repeats one that was accepted.
 asio::awaitable<Response> UserApi::refuse(wire::Json body, Response refusal) {
     auto id = wire::get_string(body, "ref");
     if (id && wire::valid_job_id(*id)) {
@@ -61,8 +57,8 @@
         auto repeat = co_await repeat_response(spec.id);
         if (repeat) co_return *repeat;
     }
-    controller::UserResponse answer = co_await queue_.submit(std::move(spec));
-    co_return to_response(answer);
+    controller::UserResponse response = co_await queue_.submit(std::move(spec));
+    co_return to_response(response);
 }
 
 asio::awaitable<Response> UserApi::poll(std::string id) {
@@ -80,8 +76,8 @@
     if (!current) co_return unavailable(kStateServiceNotResponding);
     auto* job = core.state().job(id);
     if (!job || job->state != state::JobState::active) co_return to_response(core.job_status(id));
-    controller::UserResponse answer = co_await queue_.cancel(std::move(id));
-    co_return to_response(answer);
+    controller::UserResponse response = co_await queue_.cancel(std::move(id));
+    co_return to_response(response);
 }
 
 }  // namespace wellstair::service
--- a/src/service/user_request_queue.cpp
+++ b/src/service/user_request_queue.cpp
@@ -11,9 +11,11 @@
 
 namespace {
 
-constexpr double kIdleS = 1;  // looks at the queue at least so often
+constexpr double kIdleS = 1;  // the queue is checked at least this often
 constexpr double kDeadlineS = 2 * kUserTimeoutS;
-constexpr double kBusyRetryS = 0.08;  // the rate is refilled within a second: sooner than the user's own retry
+// After a write was refused because of the rate limit. The allowance refills within a second, and this retry comes
+// sooner than the user's own.
+constexpr double kBusyRetryS = 0.08;
 
 std::int64_t wall_seconds() {
     return static_cast<std::int64_t>(net::wall_now());
@@ -40,8 +42,8 @@
     request->deadlineS = net::steady_now() + kDeadlineS;
     waiting_.push_back(request);
     requestAdded_.notify();
-    while (!request->answer) co_await context_.signals.stateChanged.wait(1);
-    co_return *request->answer;
+    while (!request->response) co_await context_.signals.stateChanged.wait(1);
+    co_return *request->response;
 }
 
 asio::awaitable<void> UserRequestQueue::run() {
@@ -71,12 +73,11 @@
 }
 
 void UserRequestQueue::refuse_all() {
-    for (auto& request : waiting_) request->answer = unavailable_response(kStateServiceNotResponding);
+    for (auto& request : waiting_) request->response = unavailable_response(kStateServiceNotResponding);
     waiting_.clear();
     context_.signals.stateChanged.notify();
 }
 
-// Answers what needs no transaction, and adds to the transaction what has room in it.
 UserRequestQueue::ClassifiedRequests UserRequestQueue::classify(state::TransactionBuilder& builder) {
     ClassifiedRequests classified;
     for (auto& request : waiting_) {
@@ -92,9 +93,9 @@
                                            ClassifiedRequests& classified) {
     controller::Core& core = context_.core;
     if (auto known = core.find_submission(request->id)) {
-        // The cached state may be older than what another controller has told the user already.
+        // Another controller may have confirmed a newer state of the job to the user than the cached state shows.
         if (request->stateCurrent || core.state().outcome(request->id))
-            request->answer = known;
+            request->response = known;
         else
             classified.toVerify.push_back(request);
     } else if (builder.submit(request->spec, context_.settings.member, wall_seconds())) {
@@ -109,7 +110,7 @@
     controller::Core& core = context_.core;
     auto* job = core.state().job(request->id);
     if (!job || job->state != state::JobState::active)
-        request->answer = core.job_status(request->id);
+        request->response = core.job_status(request->id);
     else if (builder.cancel(*job, wall_seconds()))
         classified.batch.push_back(request);
     else
@@ -123,7 +124,7 @@
         if (current)
             waiting_.push_back(request);
         else
-            request->answer = unavailable_response(kStateServiceNotResponding);
+            request->response = unavailable_response(kStateServiceNotResponding);
     }
 }
 
@@ -141,14 +142,14 @@
 }
 
 void UserRequestQueue::confirm(const Requests& batch) {
-    // Before anyone is told: what is confirmed here is told to the controllers that ask from now on, also while the own
-    // cached state does not show it yet.
+    // Recorded before any user is answered: acknowledgements sent to other controllers from now on must include these
+    // cancellations, even while the cached state does not show them yet.
     std::vector<std::string> cancelled;
     for (auto& request : batch)
         if (request->kind == Request::Kind::cancel) cancelled.push_back(request->id);
     context_.core.record_cancellations(cancelled);
     for (auto& request : batch)
-        request->answer =
+        request->response =
             request->kind == Request::Kind::submit ? submitted_response(request->id) : cancelled_response(request->id);
 }
 
@@ -163,7 +164,7 @@
         if (retry && net::steady_now() < request->deadlineS)
             waiting_.push_back(request);
         else
-            request->answer = unavailable_response("the state service does not take it now");
+            request->response = unavailable_response("the state service did not confirm the write; retry later");
     }
 }
 
--- a/tests/service_user_test.cpp
+++ b/tests/service_user_test.cpp
@@ -1,4 +1,4 @@
-// Users' requests, from the body to the answer, against a stand-in of the state service.
+// Tests users' requests from the request body to the response, against a fake of the state service.
 #include "service_fixture.hpp"
 
 namespace wellstair::test {
@@ -18,10 +18,11 @@
 
 class UserRequests : public ServiceFixture {
   protected:
-    Response submit(const Json& body) { return answer(userApi.submit(wire::encode(body))); }
-    Response poll(const char* id) { return answer(userApi.poll(id)); }
-    Response cancel(const char* id) { return answer(userApi.cancel(id)); }
-    Response answer(asio::awaitable<Response> request) {
+    Response submit(const Json& body) { return complete(userApi.submit(wire::encode(body))); }
+    Response poll(const char* id) { return complete(userApi.poll(id)); }
+    Response cancel(const char* id) { return complete(userApi.cancel(id)); }
+    // Runs a request to completion and returns its response.
+    Response complete(asio::awaitable<Response> request) {
         auto response = run_to_end(io, std::move(request));
         EXPECT_TRUE(response);
         return response.value_or(Response{0, {}, 0, ""});
@@ -48,7 +49,7 @@
     EXPECT_EQ(store.writes_of(state::keys::job(kJob)), 1);
 }
 
-TEST_F(UserRequests, AnAcceptedJobIsNotRefusedByAMalformedRepeat) {
+TEST_F(UserRequests, MalformedRepeatOfAnAcceptedJobIsNotRejected) {
     start_serving();
     EXPECT_EQ(submit(job_body()).status, 201);
     Json repeat = job_body();
@@ -77,7 +78,7 @@
     EXPECT_EQ(cancel("j-000999").status, 404);
 }
 
-TEST_F(UserRequests, AFinalJobIsPolledFromMemory) {
+TEST_F(UserRequests, PollOfAFinalJobNeedsNoRead) {
     store.put(state::keys::job(kJob), {{"f", "done"}});
     start_serving();
     store.silent = true;
@@ -88,7 +89,7 @@
     EXPECT_EQ(store.barrier_reads(), reads);
 }
 
-TEST_F(UserRequests, AnOpenJobIsPolledAfterARead) {
+TEST_F(UserRequests, PollOfAnOpenJobReadsTheStateFirst) {
     start_serving();
     EXPECT_EQ(submit(job_body()).status, 201);
     const std::size_t reads = store.barrier_reads();
@@ -97,16 +98,16 @@
     EXPECT_EQ(poll("j-000999").status, 404);
 }
 
-TEST_F(UserRequests, APollIs503WithRetryAfterWhenTheStateServiceDoesNotAnswer) {
+TEST_F(UserRequests, PollIs503WithRetryAfterIfTheStateServiceDoesNotRespond) {
     start_serving();
     store.silent = true;
     const Response response = poll(kJob);
     EXPECT_EQ(response.status, 503);
     EXPECT_EQ(response.retryAfterS, 1);
-    EXPECT_EQ(response.body["error"], "the state service does not answer");
+    EXPECT_EQ(response.body["error"], "the state service is not responding; retry later");
 }
 
-TEST_F(UserRequests, ASubmissionIs503BeforeTheControllerServes) {
+TEST_F(UserRequests, SubmissionIs503BeforeTheControllerServes) {
     store.put(state::keys::kMachineTypes, machine_types());
     start_reading();
     start(userRequests.run());
