--- a/tests/loopback_server.hpp
+++ b/tests/loopback_server.hpp
@@ -1,5 +1,5 @@
-// An HTTP server on the loopback device, for tests of what calls out: it keeps the requests that it receives, and a
-// handler decides the replies. The system chooses the port. Runs on the test's own io_context and thread.
+// An HTTP server on the loopback interface for tests of HTTP clients. Records the requests that it receives; a handler
+// returns the replies. Listens on an ephemeral port, and runs on the io_context and the thread of the test.
 #pragma once
 
 #include <boost/asio/as_tuple.hpp>
@@ -24,22 +24,23 @@
 
 namespace asio = boost::asio;
 
-// One request as it arrived; `body` is null when it was empty.
+// A received request. `body` is the decoded MessagePack, null if the body was empty.
 struct ReceivedRequest {
     std::string method, target;
     wire::Json body;
 
-    // "POST /commit {...}", to compare with.
+    // Method, target and body as one line such as "POST /commit {...}", to be compared in tests.
     std::string text() const { return method + " " + target + (body.is_null() ? "" : " " + body.dump()); }
 };
 
-// What the handler answers.
+// The reply that the handler returns.
 struct StandInReply {
     int status = 200;
     wire::Json body = wire::Json::object();
 };
 
-// Records requests and answers them through its handler; without a reply the connection is held open in silence.
+// Records requests and replies through its handler. If the handler returns nothing, the connection stays open without a
+// reply.
 class LoopbackServer {
   public:
     using Handler = std::function<std::optional<StandInReply>(const ReceivedRequest&)>;
@@ -51,11 +52,12 @@
 
     config::Endpoint endpoint() const { return {"127.0.0.1", acceptor_.local_endpoint().port()}; }
     const std::vector<ReceivedRequest>& requests() const { return requests_; }
-    // How many requests had this method and a target that begins so.
+    // The number of requests with this method and a target that begins with the prefix.
     std::size_t count(const std::string& method, const std::string& targetPrefix) const {
-        std::size_t n = 0;
-        for (const auto& r : requests_) n += r.method == method && r.target.starts_with(targetPrefix) ? 1 : 0;
-        return n;
+        std::size_t matches = 0;
+        for (const auto& request : requests_)
+            matches += request.method == method && request.target.starts_with(targetPrefix) ? 1 : 0;
+        return matches;
     }
 
   private:
@@ -106,18 +108,19 @@
     std::vector<ReceivedRequest> requests_;
 };
 
-// Runs the context until the condition holds; false if that takes longer than `limit`.
+// Runs the io_context until the condition holds. Returns false if that takes longer than `limit`.
 inline bool run_until(asio::io_context& io, const std::function<bool()>& condition,
                       std::chrono::milliseconds limit = std::chrono::milliseconds(5000)) {
-    const auto end = std::chrono::steady_clock::now() + limit;
+    const auto deadline = std::chrono::steady_clock::now() + limit;
     while (!condition()) {
-        if (std::chrono::steady_clock::now() >= end) return false;
+        if (std::chrono::steady_clock::now() >= deadline) return false;
         io.run_one_for(std::chrono::milliseconds(10));
     }
     return true;
 }
 
-// Runs a coroutine to its end and returns its result; nothing if that takes longer than a few seconds.
+// Runs a coroutine to completion and returns its result. Returns nothing if it throws, or takes longer than the default
+// limit of `run_until`.
 template <typename T>
 std::optional<T> run_to_end(asio::io_context& io, asio::awaitable<T> work) {
     auto result = std::make_shared<std::optional<T>>();
--- a/tests/service_fixture.hpp
+++ b/tests/service_fixture.hpp
@@ -1,5 +1,5 @@
-// The parts of one controller, wired as in `service/service.cpp` but without listening, against a stand-in of the state
-// service. Each test starts the loops that it is about.
+// The components of one controller, connected as in `service/service.cpp` but without its servers, and a fake of the
+// state service. Each test starts the loops that it needs.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,24 +19,25 @@
 
 class ServiceFixture : public testing::Test {
   protected:
+    // Settings with high request rates and a short lease, so that tests take little time.
     static config::Settings fast_settings(const config::Endpoint& stateService) {
-        config::Settings s = site_settings();
-        s.member = "ctl-a";
-        s.stateEndpoint = stateService;
-        s.stateRps = s.stateWriteRps = 2000;
-        s.leaseS = 1.2;  // the member's lease is renewed ten times a second
-        return s;
+        config::Settings result = site_settings();
+        result.member = "ctl-a";
+        result.stateEndpoint = stateService;
+        result.stateRps = result.stateWriteRps = 2000;
+        result.leaseS = 1.2;  // the member lease is renewed ten times a second
+        return result;
     }
 
     void start(asio::awaitable<void> loop) { service::spawn(io, std::move(loop)); }
 
-    // Loads the state and follows it.
+    // Starts the state reader, and runs until the state has been loaded.
     void start_reading() {
         start(reader.run());
         ASSERT_TRUE(run_until(io, [this] { return core.state_ready(); }));
     }
 
-    // Everything that users need, up to the moment at which the controller serves them.
+    // Starts all loops that user requests need, and runs until the controller is serving.
     void start_serving() {
         store.put(state::keys::kMachineTypes, machine_types());
         start_reading();
@@ -46,7 +47,7 @@
         ASSERT_TRUE(run_until(io, [this] { return core.availability() == state::Availability::serving; }));
     }
 
-    // Runs for a while, whatever happens.
+    // Runs the io_context for the whole duration.
     void run_for(std::chrono::milliseconds duration) {
         run_until(
             io, [] { return false; }, duration);
--- a/tests/service_membership_test.cpp
+++ b/tests/service_membership_test.cpp
@@ -1,4 +1,4 @@
-// The member's lease and registration, against a stand-in of the state service.
+// Tests the member lease and the registration against a fake of the state service.
 #include "service_fixture.hpp"
 
 namespace wellstair::test {
@@ -36,7 +36,7 @@
     start(readBarrier.run());
     start(membership.run());
     ASSERT_TRUE(run_until(io, [this] { return membership.lease_id() == 1; }));
-    store.expire_lease(1);  // before the registration arrives: it is refused
+    store.expire_lease(1);  // before the registration arrives, which is therefore rejected
     ASSERT_TRUE(run_until(io, [this] { return core.member_revision() != 0; }));
     EXPECT_EQ(membership.lease_id(), 2u);
     EXPECT_EQ(store.writes_of(state::keys::member("ctl-a")), 1);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,5 +1,5 @@
-// A whole controller on the loopback device, against stand-ins of the state service and the cloud: that its parts are
-// connected.
+// Tests that the components of a controller are connected: a complete controller on the loopback interface, with fakes
+// of the state service and the cloud.
 #include "service/service.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 using wire::Json;
 
-class WholeService : public testing::Test {
+class ServiceTest : public testing::Test {
   protected:
     StandInReply cloud_reply(const ReceivedRequest& request) const {
         if (request.target == "/machine_types") return {200, machine_types()};
@@ -21,14 +21,14 @@
     }
 
     config::Settings make_settings() const {
-        config::Settings s = site_settings();
-        s.member = "ctl-a";
-        s.publicEndpoint = s.internalEndpoint = {"127.0.0.1", 0};
-        s.stateEndpoint = store.endpoint();
-        s.cloudEndpoint = cloud.endpoint();
-        s.stateRps = s.stateWriteRps = s.cloudRps = 2000;
-        s.heartbeatIntervalS = 0.1;
-        return s;
+        config::Settings result = site_settings();
+        result.member = "ctl-a";
+        result.publicEndpoint = result.internalEndpoint = {"127.0.0.1", 0};
+        result.stateEndpoint = store.endpoint();
+        result.cloudEndpoint = cloud.endpoint();
+        result.stateRps = result.stateWriteRps = result.cloudRps = 2000;
+        result.heartbeatIntervalS = 0.1;
+        return result;
     }
 
     net::Reply request(net::verb method, const std::string& target, const std::string& body) {
@@ -42,12 +42,12 @@
 
     asio::io_context io{1};
     StateServiceStandIn store{io};
-    LoopbackServer cloud{io, [this](const ReceivedRequest& r) { return cloud_reply(r); }};
+    LoopbackServer cloud{io, [this](const ReceivedRequest& received) { return cloud_reply(received); }};
     config::Settings settings = make_settings();
     service::Service service{io, settings, {}};
 };
 
-TEST_F(WholeService, RegistersTakesTheCloudRoleAndServesUsers) {
+TEST_F(ServiceTest, RegistersAcquiresTheCloudRoleAndServesUsers) {
     service.start();
     EXPECT_EQ(request(net::verb::get, "/healthz", "").status, 503);
     ASSERT_TRUE(run_until(io, [&] { return store.revision_of(state::keys::member("ctl-a")) != 0; }));
@@ -59,7 +59,7 @@
     EXPECT_EQ(unknown.status, 404);
 }
 
-TEST_F(WholeService, RentsMachinesForASubmittedJob) {
+TEST_F(ServiceTest, RentsMachinesForASubmittedJob) {
     service.start();
     ASSERT_TRUE(run_until(io, [&] { return has_sent_to_cloud("GET", "/machines?page=500"); }));
     const Json job = {{"ref", "j-000412"},  {"lane", "train"},    {"crew", "red"},   {"shape", "batch"},
--- a/tests/state_service_stand_in.hpp
+++ b/tests/state_service_stand_in.hpp
@@ -1,5 +1,5 @@
-// Stands in for the state service on the loopback device: keys with revisions, leases, and reads of what has changed.
-// It answers reads at once, also when nothing has changed.
+// A fake of the state service on the loopback interface: keys with revisions, leases, transactions and reads of
+// changes. Unlike the real service it does not delay reads of changes while there are none.
 #pragma once
 
 #include <map>
@@ -18,14 +18,15 @@
     config::Endpoint endpoint() const { return server_.endpoint(); }
     const LoopbackServer& server() const { return server_; }
 
-    bool silent = false;      // takes requests and answers none
-    bool failsReads = false;  // answers 500 to reads
+    bool silent = false;      // receives requests without replying
+    bool failsReads = false;  // replies 500 to reads
+    // Called for each request before the reply.
     std::function<void(const ReceivedRequest&)> onRequest = [](const ReceivedRequest&) {};
 
-    // Writes a key, as another controller would.
+    // Writes a key in a revision of its own, as another controller would.
     void put(const std::string& path, const wire::Json& data) { write(path, data, ++revision_); }
 
-    // Ends a lease: its keys vanish, and it is not known any more.
+    // Expires a lease: removes its keys, and rejects further requests that name it.
     void expire_lease(std::uint64_t lease) {
         leases_.erase(lease);
         ++revision_;
@@ -33,21 +34,23 @@
             if (holder == lease) write(path, std::nullopt, revision_);
     }
 
+    // The id of the lease granted last; 0 if there is none.
     std::uint64_t newest_lease() const { return lastLease_; }
+    // The revision of the last write of the key; 0 if it does not exist.
     std::uint64_t revision_of(const std::string& path) const {
         auto it = keys_.find(path);
         return it == keys_.end() ? 0 : it->second.second;
     }
-    // How many transactions have been applied that set the key.
+    // The number of applied transactions that set the key.
     int writes_of(const std::string& path) const {
         auto it = writes_.find(path);
         return it == writes_.end() ? 0 : it->second;
     }
-    // Reads up to the present moment, as a barrier sends them.
+    // The number of reads without a long poll, as sent by the read barrier.
     std::size_t barrier_reads() const {
-        std::size_t n = 0;
-        for (const auto& request : server_.requests()) n += request.target.ends_with("&waitMs=0") ? 1 : 0;
-        return n;
+        std::size_t reads = 0;
+        for (const auto& request : server_.requests()) reads += request.target.ends_with("&waitMs=0") ? 1 : 0;
+        return reads;
     }
 
   private:
@@ -119,7 +122,7 @@
     }
 
     std::map<std::string, std::pair<Json, std::uint64_t>> keys_;
-    std::map<std::string, std::uint64_t> attached_;  // keys to leases
+    std::map<std::string, std::uint64_t> attached_;  // the lease of each key that has one
     std::map<std::string, int> writes_;
     std::vector<Json> log_;
     std::set<std::uint64_t> leases_;
