--- a/src/service/user_request_queue.cpp
+++ b/src/service/user_request_queue.cpp
@@ -11,9 +11,11 @@
 
 namespace {
 
-constexpr double kIdleS = 1;  // looks at the queue at least so often
+constexpr double kIdleS = 1;  // the queue is checked at least this often
 constexpr double kDeadlineS = 2 * kUserTimeoutS;
-constexpr double kBusyRetryS = 0.08;  // the rate is refilled within a second: sooner than the user's own retry
+// After a write was refused because of the rate limit. The allowance refills within a second, and this retry comes
+// sooner than the user's own.
+constexpr double kBusyRetryS = 0.08;
 
 std::int64_t wall_seconds() {
     return static_cast<std::int64_t>(net::wall_now());
@@ -40,8 +42,8 @@
     request->deadlineS = net::steady_now() + kDeadlineS;
     waiting_.push_back(request);
     requestAdded_.notify();
-    while (!request->answer) co_await context_.signals.stateChanged.wait(1);
-    co_return *request->answer;
+    while (!request->response) co_await context_.signals.stateChanged.wait(1);
+    co_return *request->response;
 }
 
 asio::awaitable<void> UserRequestQueue::run() {
@@ -55,13 +57,13 @@
             continue;
         }
         state::TransactionBuilder builder = context_.core.new_transaction();
-        Sorted sorted = sort(builder);
-        waiting_ = std::move(sorted.rest);
-        if (!sorted.known.empty()) co_await check_known(std::move(sorted.known));
-        if (sorted.batch.empty())
+        ClassifiedRequests classified = classify(builder);
+        waiting_ = std::move(classified.deferred);
+        if (!classified.toVerify.empty()) co_await verify_known(std::move(classified.toVerify));
+        if (classified.batch.empty())
             context_.signals.stateChanged.notify();
         else
-            co_await commit(builder.build(), std::move(sorted.batch));
+            co_await commit(builder.build(), std::move(classified.batch));
     }
 }
 
@@ -71,58 +73,58 @@
 }
 
 void UserRequestQueue::refuse_all() {
-    for (auto& request : waiting_) request->answer = unavailable_answer(kStoreDoesNotAnswer);
+    for (auto& request : waiting_) request->response = unavailable_response(kStateServiceNotResponding);
     waiting_.clear();
     context_.signals.stateChanged.notify();
 }
 
-// Answers what needs no transaction, and adds to the transaction what has room in it.
-UserRequestQueue::Sorted UserRequestQueue::sort(state::TransactionBuilder& builder) {
-    Sorted sorted;
+UserRequestQueue::ClassifiedRequests UserRequestQueue::classify(state::TransactionBuilder& builder) {
+    ClassifiedRequests classified;
     for (auto& request : waiting_) {
         if (request->kind == Request::Kind::submit)
-            sort_submission(builder, request, sorted);
+            classify_submission(builder, request, classified);
         else
-            sort_cancellation(builder, request, sorted);
+            classify_cancellation(builder, request, classified);
     }
-    return sorted;
+    return classified;
 }
 
-void UserRequestQueue::sort_submission(state::TransactionBuilder& builder, const RequestPtr& request, Sorted& sorted) {
+void UserRequestQueue::classify_submission(state::TransactionBuilder& builder, const RequestPtr& request,
+                                           ClassifiedRequests& classified) {
     controller::Core& core = context_.core;
     if (auto known = core.find_submission(request->id)) {
-        // The cached state may be older than what another controller has told the user already.
-        if (request->current || core.state().outcome(request->id))
-            request->answer = known;
+        // Another controller may have confirmed a newer state of the job to the user than the cached state shows.
+        if (request->stateCurrent || core.state().outcome(request->id))
+            request->response = known;
         else
-            sorted.known.push_back(request);
+            classified.toVerify.push_back(request);
     } else if (builder.submit(request->spec, context_.settings.member, wall_seconds())) {
-        sorted.batch.push_back(request);
+        classified.batch.push_back(request);
     } else {
-        sorted.rest.push_back(request);
+        classified.deferred.push_back(request);
     }
 }
 
-void UserRequestQueue::sort_cancellation(state::TransactionBuilder& builder, const RequestPtr& request,
-                                         Sorted& sorted) {
+void UserRequestQueue::classify_cancellation(state::TransactionBuilder& builder, const RequestPtr& request,
+                                             ClassifiedRequests& classified) {
     controller::Core& core = context_.core;
     auto* job = core.state().job(request->id);
     if (!job || job->state != state::JobState::active)
-        request->answer = core.job_status(request->id);
+        request->response = core.job_status(request->id);
     else if (builder.cancel(*job, wall_seconds()))
-        sorted.batch.push_back(request);
+        classified.batch.push_back(request);
     else
-        sorted.rest.push_back(request);
+        classified.deferred.push_back(request);
 }
 
-asio::awaitable<void> UserRequestQueue::check_known(Requests known) {
+asio::awaitable<void> UserRequestQueue::verify_known(Requests toVerify) {
     const bool current = co_await readBarrier_.wait(kStoreTimeoutS);
-    for (auto& request : known) {
-        request->current = current;
+    for (auto& request : toVerify) {
+        request->stateCurrent = current;
         if (current)
             waiting_.push_back(request);
         else
-            request->answer = unavailable_answer(kStoreDoesNotAnswer);
+            request->response = unavailable_response(kStateServiceNotResponding);
     }
 }
 
@@ -140,29 +142,29 @@
 }
 
 void UserRequestQueue::confirm(const Requests& batch) {
-    // Before anyone is told: what is confirmed here is told to the controllers that ask from now on, also while the own
-    // cached state does not show it yet.
+    // Recorded before any user is answered: acknowledgements sent to other controllers from now on must include these
+    // cancellations, even while the cached state does not show them yet.
     std::vector<std::string> cancelled;
     for (auto& request : batch)
         if (request->kind == Request::Kind::cancel) cancelled.push_back(request->id);
     context_.core.record_cancellations(cancelled);
     for (auto& request : batch)
-        request->answer =
-            request->kind == Request::Kind::submit ? submitted_answer(request->id) : cancelled_answer(request->id);
+        request->response =
+            request->kind == Request::Kind::submit ? submitted_response(request->id) : cancelled_response(request->id);
 }
 
 asio::awaitable<void> UserRequestQueue::retry_or_refuse(Outcome outcome, Requests batch) {
-    bool again = outcome == Outcome::conflict || outcome == Outcome::unknown;
-    if (again) again = co_await readBarrier_.wait(kStoreTimeoutS);
+    bool retry = outcome == Outcome::conflict || outcome == Outcome::unknown;
+    if (retry) retry = co_await readBarrier_.wait(kStoreTimeoutS);
     if (outcome == Outcome::busy) {
         co_await net::sleep_for(context_.io, net::jitter(kBusyRetryS));
-        for (auto& request : batch) again = again || !std::exchange(request->retried, true);
+        for (auto& request : batch) retry = retry || !std::exchange(request->retried, true);
     }
     for (auto& request : batch) {
-        if (again && net::steady_now() < request->deadlineS)
+        if (retry && net::steady_now() < request->deadlineS)
             waiting_.push_back(request);
         else
-            request->answer = unavailable_answer("the state service does not take it now");
+            request->response = unavailable_response("the state service did not confirm the write; retry later");
     }
 }
 
