--- a/src/api/connection_quota.hpp
+++ b/src/api/connection_quota.hpp
@@ -13,28 +13,28 @@
 // the other's part, but each may use what the other leaves.
 class ConnectionQuota {
   public:
-    // `most`: connections of all callers together.
-    explicit ConnectionQuota(std::size_t most) : most_(most) {}
+    // `capacity`: connections of all callers together.
+    explicit ConnectionQuota(std::size_t capacity) : capacity_(capacity) {}
 
     // Counts a connection.
     void acquire(Caller caller) { ++open_[index(caller)]; }
 
     // No longer counts a connection.
-    void release_one(Caller caller) { --open_[index(caller)]; }
+    void release(Caller caller) { --open_[index(caller)]; }
 
     // Whether another connection has to wait until one is closed.
-    bool full() const { return open_[0] + open_[1] >= most_; }
+    bool full() const { return open_[0] + open_[1] >= capacity_; }
 
     // Who has more than its part: an idle connection of theirs is closed first.
     Caller over_quota() const {
-        return open_[index(Caller::user)] > kUsersPart * most_ ? Caller::user : Caller::worker;
+        return open_[index(Caller::user)] > kUserShare * capacity_ ? Caller::user : Caller::worker;
     }
 
   private:
-    static constexpr double kUsersPart = 0.1;
+    static constexpr double kUserShare = 0.1;
     static std::size_t index(Caller caller) { return caller == Caller::worker; }
 
-    std::size_t most_, open_[2] = {0, 0};
+    std::size_t capacity_, open_[2] = {0, 0};
 };
 
 }  // namespace wellstair::api
--- a/src/api/server.cpp
+++ b/src/api/server.cpp
@@ -75,9 +75,9 @@
     std::optional<std::list<Connection*>::iterator> place;  // in waiting_
 };
 
-Server::Server(asio::io_context& io, const config::Endpoint& endpoint, std::size_t mostConnections, double workerIdleS,
+Server::Server(asio::io_context& io, const config::Endpoint& endpoint, std::size_t maxConnections, double workerIdleS,
                Handlers handlers)
-    : io_(io), acceptor_(io), workerIdleS_(workerIdleS), handlers_(std::move(handlers)), quota_(mostConnections) {
+    : io_(io), acceptor_(io), workerIdleS_(workerIdleS), handlers_(std::move(handlers)), quota_(maxConnections) {
     tcp::endpoint at(asio::ip::make_address_v4(endpoint.host), endpoint.port);
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
@@ -101,7 +101,7 @@
 
 void Server::release(Connection& connection) {
     end_wait(connection);
-    if (std::exchange(connection.counted, false)) quota_.release_one(connection.caller);
+    if (std::exchange(connection.counted, false)) quota_.release(connection.caller);
 }
 
 asio::awaitable<void> Server::accept() {
@@ -179,7 +179,7 @@
 // Counts the connection as what its last request was.
 void Server::set_caller(Connection& connection, std::string_view target) {
     const Caller caller = target == kHeartbeatPath ? Caller::worker : Caller::user;
-    quota_.release_one(std::exchange(connection.caller, caller));
+    quota_.release(std::exchange(connection.caller, caller));
     quota_.acquire(caller);
 }
 
--- a/src/api/server.hpp
+++ b/src/api/server.hpp
@@ -45,7 +45,7 @@
 class Server {
   public:
     // Binds the endpoint and listens. A worker's connection that has been quiet for `workerIdleS` seconds is dead.
-    Server(asio::io_context& io, const config::Endpoint& endpoint, std::size_t mostConnections, double workerIdleS,
+    Server(asio::io_context& io, const config::Endpoint& endpoint, std::size_t maxConnections, double workerIdleS,
            Handlers handlers);
 
     // Starts to accept connections.
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -67,7 +67,7 @@
     co_return reply;
 }
 
-asio::awaitable<std::optional<std::vector<wire::MachineType>>> Client::types() {
+asio::awaitable<std::optional<std::vector<wire::MachineType>>> Client::list_machine_types() {
     net::Reply reply = co_await call(net::verb::get, "/machine_types", "");
     if (!reply.ok()) co_return std::nullopt;
     auto body = wire::decode(reply.body);
@@ -80,13 +80,13 @@
 }
 
 asio::awaitable<RentResult> Client::rent(std::string requestName, std::string machineType, std::string zone, bool spot,
-                                         std::uint32_t number) {
+                                         std::uint32_t count) {
     Json request;
     request["ask"] = requestName;
     request["build"] = machineType;
     request["hall"] = zone;
     request["loaners"] = spot;
-    request["number"] = number;
+    request["number"] = count;
     RentResult result;
     net::Reply reply = co_await call(net::verb::post, "/machines", wire::encode(request));
     if (!reply.answered()) co_return result;
@@ -107,7 +107,7 @@
     co_return reply.ok();
 }
 
-asio::awaitable<std::optional<std::vector<wire::Machine>>> Client::list() {
+asio::awaitable<std::optional<std::vector<wire::Machine>>> Client::list_machines() {
     std::vector<wire::Machine> out;
     std::string lastName;
     for (;;) {
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -35,18 +35,18 @@
     Client(asio::io_context& io, const config::Settings& settings);
 
     // All machine types; nothing on failure.
-    asio::awaitable<std::optional<std::vector<wire::MachineType>>> types();
+    asio::awaitable<std::optional<std::vector<wire::MachineType>>> list_machine_types();
 
     // Rents machines. The name is never used again for another request, and repeated with the same contents when no
     // answer came: the cloud carries it out once.
     asio::awaitable<RentResult> rent(std::string requestName, std::string machineType, std::string zone, bool spot,
-                                     std::uint32_t number);
+                                     std::uint32_t count);
 
     // Returns machines; true when the cloud has confirmed that they are gone.
     asio::awaitable<bool> return_hosts(std::vector<std::string> hosts);
 
     // All machines that are held, page by page; nothing on failure.
-    asio::awaitable<std::optional<std::vector<wire::Machine>>> list();
+    asio::awaitable<std::optional<std::vector<wire::Machine>>> list_machines();
 
   private:
     asio::awaitable<net::Reply> call(net::verb method, std::string target, std::string body);
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -73,7 +73,7 @@
 
 asio::awaitable<Reply> HttpClient::request(verb method, std::string target, std::string body, double timeoutS) {
     Reply reply;
-    const auto deadline = std::chrono::steady_clock::now() + duration(timeoutS);
+    const auto deadline = std::chrono::steady_clock::now() + to_duration(timeoutS);
     StreamPtr stream = take_idle();
     if (!stream) stream = co_await connect(deadline);
     if (!stream) {
--- a/src/net/signal.cpp
+++ b/src/net/signal.cpp
@@ -12,7 +12,7 @@
 }
 
 asio::awaitable<void> Signal::wait(double seconds) {
-    auto mine = waiters_.emplace(waiters_.end(), io_, duration(seconds));
+    auto mine = waiters_.emplace(waiters_.end(), io_, to_duration(seconds));
     co_await mine->async_wait(asio::as_tuple(asio::use_awaitable));
     waiters_.erase(mine);
 }
--- a/src/net/time.cpp
+++ b/src/net/time.cpp
@@ -19,12 +19,12 @@
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-std::chrono::steady_clock::duration duration(double seconds) {
+std::chrono::steady_clock::duration to_duration(double seconds) {
     return std::chrono::duration_cast<std::chrono::steady_clock::duration>(std::chrono::duration<double>(seconds));
 }
 
 asio::awaitable<void> sleep_for(asio::io_context& io, double seconds) {
-    asio::steady_timer timer(io, duration(seconds));
+    asio::steady_timer timer(io, to_duration(seconds));
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
--- a/src/net/time.hpp
+++ b/src/net/time.hpp
@@ -17,7 +17,7 @@
 double wall_now();
 
 // Seconds as a duration of the steady clock.
-std::chrono::steady_clock::duration duration(double seconds);
+std::chrono::steady_clock::duration to_duration(double seconds);
 
 // Suspends the calling coroutine for so many seconds.
 asio::awaitable<void> sleep_for(asio::io_context& io, double seconds);
--- a/src/service/availability_monitor.cpp
+++ b/src/service/availability_monitor.cpp
@@ -19,7 +19,7 @@
                                   peerStatus_.cancellation_barrier().acknowledged_until(core.peer_incarnations()));
     leadership::AvailabilitySignals out;
     out.registered = core.member_revision() != 0;
-    out.storeContactAgeS = nowS - store_.last_ok();
+    out.storeContactAgeS = nowS - store_.last_contact();
     out.cancellationsReadAgeS = nowS - readS;
     out.hasPeers = !context_.settings.members.empty();
     out.peerHeard = core.peer_heard(now());
--- a/src/service/cloud_loop.cpp
+++ b/src/service/cloud_loop.cpp
@@ -59,7 +59,7 @@
 
 asio::awaitable<void> CloudLoop::refresh_types(double nowS) {
     if (!context_.core.state().machine_types().empty() && nowS - typesReadS_ <= kTypesValidS) co_return;
-    auto types = co_await cloud_.types();
+    auto types = co_await cloud_.list_machine_types();
     if (!types) co_return;
     typesReadS_ = nowS;
     co_await write_types(std::move(*types));
@@ -81,7 +81,7 @@
     if (!may_call()) co_return;
     const double intervalS = std::max(kLeastListIntervalS, context_.settings.listLagS / kListsPerLag);
     if (nowS - machinesReadS_ <= intervalS) co_return;
-    auto machines = co_await cloud_.list();
+    auto machines = co_await cloud_.list_machines();
     if (!machines) co_return;
     machinesReadS_ = nowS;
     context_.core.set_machines(std::move(*machines), now());
--- a/src/service/peer_status_exchange.cpp
+++ b/src/service/peer_status_exchange.cpp
@@ -14,7 +14,7 @@
         ownStatus_ = core.own_peer_status(0, now());
         ownStatus_.requestNumber = cancellationBarrier_.next_request(net::steady_now());
     }
-    ownStatus_.storeContactAgeS = net::steady_now() - store_.last_ok();
+    ownStatus_.storeContactAgeS = net::steady_now() - store_.last_contact();
     ownStatus_.serving = core.availability() == state::Availability::serving;
     // The answer and the cancellations that it vouches for are of one moment. Without a cached state there is no
     // answer.
--- a/src/service/round_loop.cpp
+++ b/src/service/round_loop.cpp
@@ -39,7 +39,7 @@
 
 // Returns how long the core took, seconds.
 asio::awaitable<double> RoundLoop::decide(double beganS) {
-    const double waitS = store_.writes().wait_for(kWritesOfARound, beganS);
+    const double waitS = store_.writes().seconds_until(kWritesOfARound, beganS);
     if (waitS > 0) co_await net::sleep_for(context_.io, std::min(waitS, kLongestWriteWaitS));
     beganS = net::steady_now();
     state::TransactionBuilder builder = context_.core.round(now());
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -125,32 +125,32 @@
 asio::awaitable<net::Reply> Client::call(net::HttpClient& http, net::verb method, std::string target, std::string body,
                                          double timeoutS) {
     const double sentS = net::steady_now();
-    requests_.spend(1, sentS);
+    requests_.consume(1, sentS);
     net::Reply reply = co_await http.request(method, std::move(target), std::move(body), timeoutS);
     if (!reply.answered()) {
         http.drop_idle();
     } else if (reply.status != kUnavailable) {
         // As of when it was sent: a reply may have been held up on the way, and tells of no later moment than that.
-        lastOkS_ = std::max(lastOkS_, sentS);
+        lastContactS_ = std::max(lastContactS_, sentS);
         if (reply.status == kTooManyRequests)
-            requests_.refused(net::steady_now());
+            requests_.record_throttled(net::steady_now());
         else
-            requests_.served(net::steady_now());
+            requests_.record_served(net::steady_now());
     }
     co_return reply;
 }
 
 asio::awaitable<CommitResult> Client::commit(const Json& transaction, int writes, double timeoutS) {
     CommitResult result;
-    writes_.spend(writes, net::steady_now());
+    writes_.consume(writes, net::steady_now());
     net::Reply reply = co_await call(http_, net::verb::post, "/commit", wire::encode(transaction), timeoutS);
     if (reply.outcome == net::Reply::Outcome::not_sent) result.outcome = Outcome::unavailable;
     if (!reply.answered()) co_return result;
     auto body = wire::decode(reply.body);
     if (body) result.revision = wire::get_unsigned(*body, "epoch").value_or(0);
     result.outcome = outcome_of(reply.status, body, result.revision);
-    if (reply.status == kOk) writes_.served(net::steady_now());
-    if (result.outcome == Outcome::busy) writes_.refused(net::steady_now());
+    if (reply.status == kOk) writes_.record_served(net::steady_now());
+    if (result.outcome == Outcome::busy) writes_.record_throttled(net::steady_now());
     if (result.outcome == Outcome::malformed)
         spdlog::error("the state service calls a transaction malformed: {}", body ? body->dump() : "?");
     co_return result;
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -92,7 +92,7 @@
     asio::awaitable<Renewal> renew(std::uint64_t leaseId, double timeoutS);
 
     // When the last request of any kind that was served had been sent, seconds on the steady clock.
-    double last_ok() const { return lastOkS_; }
+    double last_contact() const { return lastContactS_; }
 
     // The share of the rate of writes.
     RateLimiter& writes() { return writes_; }
@@ -107,7 +107,7 @@
     net::HttpClient http_;
     net::HttpClient longPoll_;  // of its own: a failure of one kind does not close the connections of the other
     RateLimiter requests_, writes_;
-    double lastOkS_ = -1e9;
+    double lastContactS_ = -1e9;
 };
 
 // The name of a renewal's result for the log.
--- a/src/store/rate_limiter.cpp
+++ b/src/store/rate_limiter.cpp
@@ -28,22 +28,22 @@
     refilledAtS_ = std::max(refilledAtS_, nowS);
 }
 
-void RateLimiter::spend(double n, double nowS) {
+void RateLimiter::consume(double count, double nowS) {
     refill(nowS);
-    tokens_ -= n;
+    tokens_ -= count;
 }
 
-double RateLimiter::wait_for(double n, double nowS) {
+double RateLimiter::seconds_until(double count, double nowS) {
     refill(nowS);
-    return std::max(0.0, (std::min(n, rate_) - tokens_) / rate_);
+    return std::max(0.0, (std::min(count, rate_) - tokens_) / rate_);
 }
 
-void RateLimiter::served(double nowS) {
+void RateLimiter::record_served(double nowS) {
     refill(nowS);
     rate_ = std::min(kMostShare * total_, rate_ + kRegainPerS * total_ * kSecondsPerRequest);
 }
 
-void RateLimiter::refused(double nowS) {
+void RateLimiter::record_throttled(double nowS) {
     refill(nowS);
     rate_ = std::max(evenRate_, rate_ / 2);
     tokens_ = std::min(tokens_, 0.0);
--- a/src/store/rate_limiter.hpp
+++ b/src/store/rate_limiter.hpp
@@ -11,17 +11,17 @@
     // `total`: what all members together may use, per second.
     RateLimiter(double total, int members, double nowS);
 
-    // Takes `n` tokens; the bucket may be overdrawn.
-    void spend(double n, double nowS);
+    // Takes `count` tokens; the bucket may be overdrawn.
+    void consume(double count, double nowS);
 
-    // Seconds until `n` tokens can be spent; more than the burst is waited for as if it were the burst.
-    double wait_for(double n, double nowS);
+    // Seconds until `count` tokens can be spent; more than the burst is waited for as if it were the burst.
+    double seconds_until(double count, double nowS);
 
     // A request was served: the rate may grow.
-    void served(double nowS);
+    void record_served(double nowS);
 
     // A request was refused for its rate: the rate is cut, and the bucket is empty.
-    void refused(double nowS);
+    void record_throttled(double nowS);
 
     // The rate of all members has changed.
     void set_total(double total, double nowS);
--- a/tests/connection_quota_test.cpp
+++ b/tests/connection_quota_test.cpp
@@ -14,13 +14,13 @@
     // A user comes: a worker's connection goes, and so on until users have their part.
     for (int i = 0; i < 100; ++i) {
         ASSERT_EQ(quota.over_quota(), Caller::worker);
-        quota.release_one(Caller::worker);
+        quota.release(Caller::worker);
         EXPECT_FALSE(quota.full());
         quota.acquire(Caller::user);
     }
     ASSERT_TRUE(quota.full());
     // More users than that displace users.
-    quota.release_one(Caller::worker);
+    quota.release(Caller::worker);
     quota.acquire(Caller::user);
     EXPECT_EQ(quota.over_quota(), Caller::user);
 }
--- a/tests/golden_requests_test.cpp
+++ b/tests/golden_requests_test.cpp
@@ -97,8 +97,8 @@
 
 TEST_F(GoldenRequests, Cloud) {
     cloud::Client client(io_, settings());
-    ASSERT_TRUE(run_to_end(io_, client.types()));
-    ASSERT_TRUE(run_to_end(io_, client.list()));
+    ASSERT_TRUE(run_to_end(io_, client.list_machine_types()));
+    ASSERT_TRUE(run_to_end(io_, client.list_machines()));
     ASSERT_TRUE(run_to_end(io_, client.rent("r-1-2", "g8", "b", true, 3)));
     ASSERT_TRUE(run_to_end(io_, client.return_hosts({"a-001", "b-002"})));
     EXPECT_EQ(sent(), (Texts{"GET /machine_types", "GET /machines?page=500", "GET /machines?page=500&since=a-001",
