--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -17,9 +17,10 @@
 
 namespace {
 
+// Completion token with which errors are returned, not thrown.
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t kMostIdle = 4;  // connections to one endpoint
-constexpr unsigned kHttpVersion = 11;
+constexpr std::size_t kMaxIdleConnections = 4;  // per endpoint
+constexpr unsigned kHttpVersion = 11;           // HTTP/1.1, as Beast encodes it
 
 http::request<http::string_body> make_request(verb method, const std::string& target, const std::string& host,
                                               std::string body) {
@@ -54,17 +55,17 @@
     return stream;
 }
 
-void HttpClient::keep(StreamPtr stream) {
+void HttpClient::put_idle(StreamPtr stream) {
     stream->expires_never();
-    if (idle_.size() < kMostIdle) idle_.push_back(std::move(stream));
+    if (idle_.size() < kMaxIdleConnections) idle_.push_back(std::move(stream));
 }
 
-// A new connection; null if there is none by the deadline.
+// Opens a connection. Returns null if that fails or the deadline passes.
 asio::awaitable<HttpClient::StreamPtr> HttpClient::connect(std::chrono::steady_clock::time_point deadline) {
     auto stream = std::make_unique<Stream>(io_);
     stream->expires_at(deadline);
-    tcp::endpoint to(asio::ip::make_address_v4(endpoint_.host), endpoint_.port);
-    auto [error] = co_await stream->async_connect(to, kAwait);
+    tcp::endpoint remote(asio::ip::make_address_v4(endpoint_.host), endpoint_.port);
+    auto [error] = co_await stream->async_connect(remote, kAwait);
     if (error) co_return nullptr;
     beast::error_code ignored;
     stream->socket().set_option(tcp::no_delay(true), ignored);
@@ -93,7 +94,7 @@
     reply.status = static_cast<int>(parser.get().result_int());
     const bool keepAlive = parser.get().keep_alive();
     reply.body = std::move(parser.get().body());
-    if (keepAlive) keep(std::move(stream));
+    if (keepAlive) put_idle(std::move(stream));
     co_return reply;
 }
 
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,6 +1,6 @@
-// An HTTP/1.1 client over Beast with kept connections and time-outs, shared by everything that calls out.
-// Owns its idle connections. One io_context thread.
-// Errors: a request never throws; its reply says whether the request can have been carried out.
+// An HTTP/1.1 client on Boost.Beast with persistent connections and timeouts, used by all clients of this process.
+// Owns its idle connections. Runs on one io_context thread.
+// Errors: a request never throws. Its reply tells whether the server can have executed the request.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -20,12 +20,12 @@
 namespace asio = boost::asio;
 using boost::beast::http::verb;
 
-// What became of a request.
+// The outcome of a request and, if there is one, the response.
 struct Reply {
     enum class Outcome : std::uint8_t {
-        answered,  // `status` and `body` are the answer
-        not_sent,  // no connection: it was not and will not be carried out
-        lost,      // no answer in time: it may have been carried out, or may be later
+        answered,  // `status` and `body` hold the response
+        not_sent,  // no connection: the request was not and will not be executed
+        lost,      // no response in time: the request may have been executed, or may be later
     };
     Outcome outcome = Outcome::lost;
     int status = 0;
@@ -35,18 +35,18 @@
     bool ok() const { return answered() && status == 200; }
 };
 
-// The outcome's name for the log.
+// Returns the outcome's name for logging.
 const char* to_string(Reply::Outcome outcome);
 
-// Requests to one endpoint; several may be under way, each on a connection of its own.
+// Sends requests to one endpoint. Concurrent requests use separate connections.
 class HttpClient {
   public:
     HttpClient(asio::io_context& io, config::Endpoint endpoint) : io_(io), endpoint_(std::move(endpoint)) {}
 
-    // Sends a request and returns its reply, after `timeoutS` seconds at the latest. The client must outlive it.
+    // Sends a request and returns its reply, after `timeoutS` seconds at the latest. The client must outlive the call.
     asio::awaitable<Reply> request(verb method, std::string target, std::string body, double timeoutS);
 
-    // Closes the kept connections: after a failure the others are suspect as well.
+    // Closes the idle connections. To be called after a failure, as the others may be broken as well.
     void drop_idle() { idle_.clear(); }
 
   private:
@@ -55,7 +55,7 @@
 
     StreamPtr take_idle();
     asio::awaitable<StreamPtr> connect(std::chrono::steady_clock::time_point deadline);
-    void keep(StreamPtr stream);
+    void put_idle(StreamPtr stream);
 
     asio::io_context& io_;
     config::Endpoint endpoint_;
--- a/src/net/signal.cpp
+++ b/src/net/signal.cpp
@@ -12,9 +12,9 @@
 }
 
 asio::awaitable<void> Signal::wait(double seconds) {
-    auto mine = waiters_.emplace(waiters_.end(), io_, to_duration(seconds));
-    co_await mine->async_wait(asio::as_tuple(asio::use_awaitable));
-    waiters_.erase(mine);
+    auto timer = waiters_.emplace(waiters_.end(), io_, to_duration(seconds));
+    co_await timer->async_wait(asio::as_tuple(asio::use_awaitable));
+    waiters_.erase(timer);
 }
 
 }  // namespace wellstair::net
--- a/src/net/signal.hpp
+++ b/src/net/signal.hpp
@@ -1,4 +1,5 @@
-// A condition variable for coroutines. Owns a timer for each that waits. One io_context thread; no errors.
+// A condition variable for coroutines. Owns one timer per waiting coroutine. Runs on one io_context thread. Reports no
+// errors.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -10,16 +11,16 @@
 
 namespace asio = boost::asio;
 
-// Wakes coroutines that wait for something to happen. Each waiter has a timer of its own: with a shared one, every new
-// waiter would wake all the others.
+// Lets coroutines wait for a notification, with a timeout. Each waiter has its own timer: setting the expiry of a
+// shared one would cancel the waits of all other coroutines.
 class Signal {
   public:
     explicit Signal(asio::io_context& io) : io_(io) {}
 
-    // Wakes all that wait now.
+    // Wakes all coroutines that are waiting now; later waiters are not affected.
     void notify();
 
-    // Returns when notified, or after so many seconds. As with a condition variable, the caller looks again itself.
+    // Returns when notified, or after `seconds`. The cause is not reported: the caller must check its condition again.
     asio::awaitable<void> wait(double seconds);
 
   private:
--- a/src/net/time.cpp
+++ b/src/net/time.cpp
@@ -8,7 +8,7 @@
 namespace wellstair::net {
 
 namespace {
-constexpr double kLeastJitter = 0.75, kMostJitter = 1.25;
+constexpr double kMinJitterFactor = 0.75, kMaxJitterFactor = 1.25;
 }  // namespace
 
 double steady_now() {
@@ -30,7 +30,7 @@
 
 double jitter(double seconds) {
     static std::minstd_rand random(std::random_device{}());
-    return seconds * std::uniform_real_distribution<double>(kLeastJitter, kMostJitter)(random);
+    return seconds * std::uniform_real_distribution<double>(kMinJitterFactor, kMaxJitterFactor)(random);
 }
 
 }  // namespace wellstair::net
--- a/src/net/time.hpp
+++ b/src/net/time.hpp
@@ -1,5 +1,5 @@
-// Clocks, pauses and jitter for everything that does I/O. Stateless but for the random numbers of the jitter.
-// One io_context thread; no errors.
+// Clock readings, delays and jitter for code that does I/O. The only state is the random generator of the jitter.
+// Runs on one io_context thread. Reports no errors.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -10,19 +10,22 @@
 
 namespace asio = boost::asio;
 
-// Seconds on the steady clock.
+// A steady time before every event, in seconds: the initial value of "last seen at" fields.
+inline constexpr double kNeverS = -1e9;
+
+// Returns the time on the steady clock, in seconds.
 double steady_now();
 
-// Time of day, seconds since the epoch.
+// Returns the time on the wall clock, in seconds since the Unix epoch.
 double wall_now();
 
-// Seconds as a duration of the steady clock.
+// Converts seconds to a duration of the steady clock.
 std::chrono::steady_clock::duration to_duration(double seconds);
 
-// Suspends the calling coroutine for so many seconds.
+// Suspends the calling coroutine for `seconds`.
 asio::awaitable<void> sleep_for(asio::io_context& io, double seconds);
 
-// A random time around `seconds`, give or take a quarter, so that processes do not retry in step.
+// Returns `seconds` varied at random by up to 25% either way, so that processes do not retry at the same moment.
 double jitter(double seconds);
 
 }  // namespace wellstair::net
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr double kPageTimeoutS = 3;
-constexpr const char* kPageSize = "1000";  // keys
+constexpr const char* kPageSize = "1000";  // keys per page
 
-// Statuses of the protocol.
+// HTTP statuses of the protocol.
 constexpr int kOk = 200, kMalformed = 400, kNotFound = 404, kConflict = 409, kGone = 410, kTooManyRequests = 429,
               kUnavailable = 503;
 
@@ -130,7 +130,7 @@
     if (!reply.answered()) {
         http.drop_idle();
     } else if (reply.status != kUnavailable) {
-        // As of when it was sent: a reply may have been held up on the way, and tells of no later moment than that.
+        // The time of sending counts: a reply may have been delayed in transit, so it proves no later contact.
         lastContactS_ = std::max(lastContactS_, sentS);
         if (reply.status == kTooManyRequests)
             requests_.record_throttled(net::steady_now());
@@ -152,7 +152,8 @@
     if (reply.status == kOk) writes_.record_served(net::steady_now());
     if (result.outcome == Outcome::busy) writes_.record_throttled(net::steady_now());
     if (result.outcome == Outcome::malformed)
-        spdlog::error("the state service calls a transaction malformed: {}", body ? body->dump() : "?");
+        spdlog::error("state service rejected a transaction as malformed: {}",
+                      body ? body->dump() : "no readable response body");
     co_return result;
 }
 
@@ -174,7 +175,7 @@
 }
 
 asio::awaitable<std::optional<RevisionRange>> Client::read_all(const std::string& prefix,
-                                                               std::function<void(const Change&)> each) {
+                                                               std::function<void(const Change&)> visit) {
     RevisionRange range;
     std::string lastPath;
     for (;;) {
@@ -188,7 +189,7 @@
             for (const Json& entry : *pairs) {
                 const Change change = parse_pair(entry);
                 lastPath = change.path;
-                each(change);
+                visit(change);
             }
         if (!wire::get_bool(*body, "hasNext").value_or(false)) break;
     }
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -1,7 +1,7 @@
-// The requests to the state service (PROTOCOL, state service): transactions, reads, changes and leases.
-// Owns its connections, this controller's share of the request rates, and when the state service last answered.
-// One io_context thread.
-// Errors: nothing throws; each result says what is known. A request without an answer may still be carried out.
+// Client of the state service (PROTOCOL, state service): transactions, reads, changes and leases.
+// Owns its connections, this controller's share of the request rates, and the time of the last contact.
+// Runs on one io_context thread.
+// Errors: nothing throws; the result tells what is known. A request without a response may still be executed.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "net/http.hpp"
+#include "net/time.hpp"
 #include "store/rate_limiter.hpp"
 #include "wire/codec.hpp"
 
@@ -19,85 +20,89 @@
 namespace asio = boost::asio;
 using wire::Json;
 
-// What became of a compare-and-swap transaction.
+// The outcome of a compare-and-swap transaction.
 enum class Outcome : std::uint8_t {
     applied,
     conflict,     // a precondition did not hold; nothing was changed
-    no_lease,     // it names a lease that has ended
-    busy,         // refused for the rate of writes
-    unavailable,  // not carried out: no connection, or the service says so
-    unknown,      // no answer: it may have been applied, or may be later
-    malformed,    // the service cannot accept it as it is
+    no_lease,     // the transaction names a lease that has ended
+    busy,         // refused because the rate of writes was exceeded
+    unavailable,  // not executed: no connection, or the service reports that it is unavailable
+    unknown,      // no response: it may have been applied, or may be later
+    malformed,    // rejected as invalid: repeating it unchanged is of no use
 };
 
-// The outcome's name for the log.
+// Returns the outcome's name for logging.
 const char* to_string(Outcome outcome);
 
+// The result of a commit.
 struct CommitResult {
     Outcome outcome = Outcome::unknown;
-    std::uint64_t revision = 0;  // applied: of the transaction
+    std::uint64_t revision = 0;  // of the transaction, if it was applied
 };
 
-// A key as it is since a revision.
+// The value of a key as of a revision.
 struct Change {
     std::string path;
-    std::optional<Json> data;  // nothing: removed
+    std::optional<Json> data;  // nullopt: the key was removed
     std::uint64_t revision = 0;
 };
 
-// The changes since a revision.
+// The result of reading the changes since a revision.
 struct FollowResult {
     enum class Kind : std::uint8_t {
         ok,
-        gone,  // the service no longer has the changes since then: everything is to be read again
+        gone,  // the service no longer holds the changes since that revision: the whole state must be read again
         failed,
     };
     Kind kind = Kind::failed;
     std::uint64_t revision = 0;
     std::vector<Change> changes;
-    double sentS = -1e9;  // when it was asked for, steady clock: what it tells is no older than that
+    double sentS = net::kNeverS;  // steady time of sending the request; the result is at least as recent
 };
 
-// The result's name for the log.
+// Returns the result's name for logging.
 const char* to_string(FollowResult::Kind kind);
 
-// The revisions of the first and the last page of a read by pages.
+// The revisions of the first and the last page of a paged read.
 struct RevisionRange {
     std::uint64_t first = 0, last = 0;
 };
 
 class Client {
   public:
-    // The settings name the endpoint and the rates that all controllers share.
+    // Takes the endpoint and the rates that all controllers share from the settings.
     Client(asio::io_context& io, const config::Settings& settings);
 
-    // Commits a transaction of so many writes. It must live until the result is there.
+    // Commits a transaction with `writes` writes. The transaction must outlive the call.
     asio::awaitable<CommitResult> commit(const Json& transaction, int writes, double timeoutS);
 
-    // The changes below the prefix since a revision. Without any, the service waits for one, `waitS` seconds at most.
+    // Returns the changes to keys with the prefix since a revision. If there are none, the service waits up to `waitS`
+    // seconds for one.
     asio::awaitable<FollowResult> follow(const std::string& prefix, std::uint64_t since, double waitS, double timeoutS);
 
-    // Reads all keys below the prefix, page by page. The changes since the first page's revision are to be applied on
-    // top; the state is complete when the last page's revision has been reached. Nothing on failure.
+    // Reads all keys with the prefix, page by page, and passes each to `visit`. The pages may differ in revision: the
+    // caller must apply the changes since the first page's revision, and has a consistent state once it has reached the
+    // last page's revision. Returns nullopt on failure.
     asio::awaitable<std::optional<RevisionRange>> read_all(const std::string& prefix,
-                                                           std::function<void(const Change&)> each);
+                                                           std::function<void(const Change&)> visit);
 
-    // Acquires a lease and returns its id; nothing on failure.
+    // Acquires a lease and returns its id, or nullopt on failure.
     asio::awaitable<std::optional<std::uint64_t>> grant(double ttlS, double timeoutS);
 
-    // What became of a lease that was to be renewed.
+    // The outcome of a lease renewal.
     enum class Renewal : std::uint8_t { renewed, ended, failed };
 
-    // Renews a lease for another time to live.
+    // Extends a lease by its time to live.
     asio::awaitable<Renewal> renew(std::uint64_t leaseId, double timeoutS);
 
-    // When the last request of any kind that was served had been sent, seconds on the steady clock.
+    // Returns the steady time at which the latest answered request was sent, in seconds; net::kNeverS before the first.
+    // Replies that report the service as unavailable do not count.
     double last_contact() const { return lastContactS_; }
 
-    // The share of the rate of writes.
+    // Returns the limiter of this controller's share of the write rate.
     RateLimiter& writes() { return writes_; }
 
-    // Sets the rate of writes that all controllers share, per second.
+    // Sets the write rate that all controllers share, in writes per second.
     void set_write_rate(double rps);
 
   private:
@@ -105,12 +110,13 @@
                                      double timeoutS);
 
     net::HttpClient http_;
-    net::HttpClient longPoll_;  // of its own: a failure of one kind does not close the connections of the other
+    // Long polls have a client of their own: a failed request closes the idle connections of its client only.
+    net::HttpClient longPoll_;
     RateLimiter requests_, writes_;
-    double lastContactS_ = -1e9;
+    double lastContactS_ = net::kNeverS;
 };
 
-// The name of a renewal's result for the log.
+// Returns the outcome's name for logging.
 const char* to_string(Client::Renewal renewal);
 
 }  // namespace wellstair::store
--- a/src/store/rate_limiter.cpp
+++ b/src/store/rate_limiter.cpp
@@ -6,20 +6,21 @@
 
 namespace {
 
-// Of the whole rate: what one controller takes at the start, and when the others are quiet.
-constexpr double kFirstShare = 0.5, kMostShare = 0.7;
-// Of the whole rate: what is regained per second of being served; each served request counts as so many seconds.
-constexpr double kRegainPerS = 0.05, kSecondsPerRequest = 0.02;
-// Less than everything: rates are counted over there, by another clock.
-constexpr double kEvenPart = 0.9;
+// Fractions of the total rate: a controller's rate at the start, and its upper bound while the others send little.
+constexpr double kInitialShare = 0.5, kMaxShare = 0.7;
+// Growth of the rate, as a fraction of the total per second of successful use, and the time that a served request
+// counts for.
+constexpr double kGrowthPerS = 0.05, kSecondsPerRequest = 0.02;
+// Part of the total that the even shares add up to. Below 1 because the service measures rates by its own clock.
+constexpr double kEvenShareSum = 0.9;
 
 }  // namespace
 
 RateLimiter::RateLimiter(double total, int members, double nowS)
     : members_(members),
       total_(total),
-      evenRate_(kEvenPart * total / members),
-      rate_(std::max(evenRate_, kFirstShare * total)),
+      evenRate_(kEvenShareSum * total / members),
+      rate_(std::max(evenRate_, kInitialShare * total)),
       tokens_(rate_),
       refilledAtS_(nowS) {}
 
@@ -40,7 +41,7 @@
 
 void RateLimiter::record_served(double nowS) {
     refill(nowS);
-    rate_ = std::min(kMostShare * total_, rate_ + kRegainPerS * total_ * kSecondsPerRequest);
+    rate_ = std::min(kMaxShare * total_, rate_ + kGrowthPerS * total_ * kSecondsPerRequest);
 }
 
 void RateLimiter::record_throttled(double nowS) {
@@ -53,8 +54,8 @@
     if (total == total_) return;
     refill(nowS);
     total_ = total;
-    evenRate_ = kEvenPart * total / members_;
-    rate_ = std::clamp(rate_, evenRate_, std::max(evenRate_, kMostShare * total));
+    evenRate_ = kEvenShareSum * total / members_;
+    rate_ = std::clamp(rate_, evenRate_, std::max(evenRate_, kMaxShare * total));
     tokens_ = std::min(tokens_, rate_);
 }
 
