--- a/src/api/server.cpp
+++ b/src/api/server.cpp
@@ -20,35 +20,38 @@
 
 namespace {
 
+// Completion token with which errors are returned, not thrown.
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::milliseconds kUserIdle = std::chrono::seconds(120);
-constexpr auto kTransfer = std::chrono::seconds(10);
+constexpr std::chrono::milliseconds kUserIdleLimit = std::chrono::seconds(120);
+constexpr auto kWriteTimeout = std::chrono::seconds(10);
 constexpr double kAcceptRetryS = 0.05;
-constexpr int kBacklog = 4096;  // all machines may come at once, after all controllers were down
-constexpr unsigned kHttpVersion = 11;
+constexpr int kListenBacklog = 4096;   // all machines may connect at once after an outage of all controllers
+constexpr unsigned kHttpVersion = 11;  // HTTP/1.1, as Beast encodes it
 constexpr std::string_view kHealthPath = "/healthz", kJobsPath = "/v2/runs", kHeartbeatPath = "/checkin",
                            kCancelPath = "withdraw";
+constexpr const char* kNoSuchPath =
+    "no such path; expected /v2/runs, /v2/runs/ID, /v2/runs/ID/withdraw, /checkin or /healthz";
 
-// Built outside the coroutines: GCC 12 cannot compile such initialisers inside them.
-Response refusal(int status, const char* why) {
-    return {status, {{"error", why}}, 0, ""};
+// Responses are built outside the coroutines because GCC 12 cannot compile such initializers inside them.
+Response error_response(int status, const char* message) {
+    return {status, {{"error", message}}, 0, ""};
 }
 
-Response wrong_method(const char* allow) {
-    return {405, {{"error", "wrong method"}}, 0, allow};
+Response method_not_allowed(const char* allow) {
+    return {405, {{"error", std::string("method not allowed; use ") + allow}}, 0, allow};
 }
 
 Response health(bool ok) {
     return {ok ? 200 : 503, {{"status", ok ? "ok" : "not ready"}}, 0, ""};
 }
 
-// What a request that could not be read is answered with; nothing when the connection is gone.
+// Returns the response to a request that could not be read; nullopt if the connection is closed.
 std::optional<Response> response_to(const beast::error_code& error) {
     static const auto& kHttpErrors = http::make_error_code(http::error::end_of_stream).category();
-    if (error == http::error::body_limit) return refusal(413, "the limit for bodies is 64 KiB");
+    if (error == http::error::body_limit) return error_response(413, "request body exceeds the limit of 64 KiB");
     if (error.category() != kHttpErrors) return std::nullopt;
     if (error == http::error::end_of_stream || error == http::error::partial_message) return std::nullopt;
-    return refusal(400, "not a valid HTTP request");
+    return error_response(400, "malformed HTTP request");
 }
 
 http::response<http::string_body> to_http(const Response& response, unsigned version, bool keepAlive) {
@@ -71,18 +74,18 @@
     beast::tcp_stream stream;
     beast::flat_buffer buffer{2 * wire::kMaxBodyBytes};
     Caller caller = Caller::user;
-    bool counted = true;                                    // by the quota; false: closed to make room
-    std::optional<std::list<Connection*>::iterator> place;  // in waiting_
+    bool counted = true;                                    // in the quota; false: closed to admit another connection
+    std::optional<std::list<Connection*>::iterator> place;  // in waiting_, while idle
 };
 
 Server::Server(asio::io_context& io, const config::Endpoint& endpoint, std::size_t maxConnections, double workerIdleS,
                Handlers handlers)
     : io_(io), acceptor_(io), workerIdleS_(workerIdleS), handlers_(std::move(handlers)), quota_(maxConnections) {
-    tcp::endpoint at(asio::ip::make_address_v4(endpoint.host), endpoint.port);
-    acceptor_.open(at.protocol());
+    tcp::endpoint local(asio::ip::make_address_v4(endpoint.host), endpoint.port);
+    acceptor_.open(local.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    acceptor_.bind(at);
-    acceptor_.listen(kBacklog);
+    acceptor_.bind(local);
+    acceptor_.listen(kListenBacklog);
 }
 
 void Server::start() {
@@ -111,17 +114,17 @@
             co_await net::sleep_for(io_, kAcceptRetryS);
             continue;
         }
-        if (make_room()) asio::co_spawn(io_, serve(std::move(socket)), asio::detached);
+        if (evict_if_full()) asio::co_spawn(io_, serve(std::move(socket)), asio::detached);
     }
 }
 
-// Beyond the limit the connection that has been idle for longest is closed, of workers or of users, whoever has more
-// than its part: with one controller left for all machines, they must not shut the users out, nor users them, and the
-// sockets that we need for the state service and for commands stay free.
-bool Server::make_room() {
+// At the limit, closes the connection that has been idle longest among the callers that exceed their share. With one
+// controller left for all machines, workers must not lock users out, nor users workers, and sockets for the state
+// service and for commands must stay available. Returns whether another connection may be accepted.
+bool Server::evict_if_full() {
     if (!quota_.full()) return true;
     auto& idle = waiting_[quota_.over_quota()];
-    if (idle.empty()) return false;  // all are busy: the new one is closed, and its caller goes elsewhere
+    if (idle.empty()) return false;  // the new connection is closed, and its client tries another controller
     Connection& oldest = *idle.front();
     release(oldest);
     oldest.stream.close();
@@ -141,7 +144,7 @@
     connection.stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-// Reads and answers one request; false when the connection is not to be used for another.
+// Reads and answers one request. Returns whether the connection can be used for another.
 asio::awaitable<bool> Server::serve_request(Connection& connection) {
     http::request_parser<http::string_body> parser;
     parser.body_limit(wire::kMaxBodyBytes);
@@ -166,17 +169,17 @@
         response = co_await route(std::move(method), std::move(target), std::move(request.body()));
     }
     auto out = to_http(*response, version, keepAlive);
-    connection.stream.expires_after(kTransfer);
+    connection.stream.expires_after(kWriteTimeout);
     auto [writeError, bytesWritten] = co_await http::async_write(connection.stream, out, kAwait);
     co_return !writeError && keepAlive;
 }
 
 std::chrono::milliseconds Server::idle_limit(const Connection& connection) const {
-    if (connection.caller == Caller::user) return kUserIdle;
+    if (connection.caller == Caller::user) return kUserIdleLimit;
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::duration<double>(workerIdleS_));
 }
 
-// Counts the connection as what its last request was.
+// Counts the connection under the kind of caller that sent its latest request.
 void Server::set_caller(Connection& connection, std::string_view target) {
     const Caller caller = target == kHeartbeatPath ? Caller::worker : Caller::user;
     quota_.release(std::exchange(connection.caller, caller));
@@ -186,33 +189,33 @@
 asio::awaitable<Response> Server::route(std::string method, std::string target, std::string body) {
     const std::string path = target.substr(0, target.find('?'));
     if (path == kHealthPath) {
-        if (method != "GET") co_return wrong_method("GET");
+        if (method != "GET") co_return method_not_allowed("GET");
         co_return health(handlers_.healthy());
     }
     if (path == kHeartbeatPath) {
-        if (method != "POST") co_return wrong_method("POST");
+        if (method != "POST") co_return method_not_allowed("POST");
         co_return co_await handlers_.heartbeat(std::move(body));
     }
     if (path == kJobsPath) {
-        if (method != "POST") co_return wrong_method("POST");
+        if (method != "POST") co_return method_not_allowed("POST");
         co_return co_await handlers_.submit(std::move(body));
     }
     const std::string jobPrefix = std::string(kJobsPath) + "/";
     if (path.starts_with(jobPrefix) && path.size() > jobPrefix.size())
         co_return co_await route_job(std::move(method), path.substr(jobPrefix.size()));
-    co_return refusal(404, "no such path");
+    co_return error_response(404, kNoSuchPath);
 }
 
-// A request about one job: `path` is its id, or its id and what is to be done with it.
+// Routes a request about one job. `path` is the job's id, or its id, a slash and an action.
 asio::awaitable<Response> Server::route_job(std::string method, std::string path) {
     const auto slash = path.find('/');
     std::string id = path.substr(0, slash);
     if (slash == std::string::npos) {
-        if (method != "GET") co_return wrong_method("GET");
+        if (method != "GET") co_return method_not_allowed("GET");
         co_return co_await handlers_.poll(std::move(id));
     }
-    if (path.substr(slash + 1) != kCancelPath) co_return refusal(404, "no such path");
-    if (method != "POST") co_return wrong_method("POST");
+    if (path.substr(slash + 1) != kCancelPath) co_return error_response(404, kNoSuchPath);
+    if (method != "POST") co_return method_not_allowed("POST");
     co_return co_await handlers_.cancel(std::move(id));
 }
 
--- a/src/api/server.hpp
+++ b/src/api/server.hpp
@@ -1,7 +1,8 @@
-// The HTTP server for users, workers and health checks (PROTOCOL, users and workers). Knows the requests' outer form;
-// what they mean is asked of the handlers.
-// Owns the listening socket, the connections and their quota. One io_context thread; each connection is a coroutine.
-// Errors: the constructor throws when the address cannot be bound; a malformed request is answered with 4xx, a broken
+// The HTTP server for users, workers and health checks (PROTOCOL, users and workers). Parses and routes requests; the
+// handlers interpret their bodies.
+// Owns the listening socket, the connections and their quota. Runs on one io_context thread; each connection is a
+// coroutine.
+// Errors: the constructor throws if the address cannot be bound. A malformed request is answered with 4xx, a broken
 // connection is closed.
 #pragma once
 
@@ -25,39 +26,39 @@
 
 namespace asio = boost::asio;
 
-// The answer to a request.
+// The response to a request.
 struct Response {
     int status = 200;
     wire::Json body;
-    double retryAfterS = 0;  // of the header Retry-After; 0: none
-    std::string allow;       // of the header Allow, with 405
+    double retryAfterS = 0;  // value of the header Retry-After, in seconds; 0: no header
+    std::string allow;       // value of the header Allow, which a 405 must have; empty: no header
 };
 
-// What answers the requests. Each owns its argument: it may suspend.
+// The functions that answer requests. Each takes its argument by value because it may suspend.
 struct Handlers {
     using Handler = std::function<asio::awaitable<Response>(std::string argument)>;
 
-    Handler submit, heartbeat;  // with the request's body
-    Handler poll, cancel;       // with the job's id
-    std::function<bool()> healthy;
+    Handler submit, heartbeat;      // argument: the request's body
+    Handler poll, cancel;           // argument: the job's id
+    std::function<bool()> healthy;  // whether health checks are to succeed
 };
 
 class Server {
   public:
-    // Binds the endpoint and listens. A worker's connection that has been quiet for `workerIdleS` seconds is dead.
+    // Binds the endpoint and listens. A worker's connection is closed after `workerIdleS` seconds without a request.
     Server(asio::io_context& io, const config::Endpoint& endpoint, std::size_t maxConnections, double workerIdleS,
            Handlers handlers);
 
-    // Starts to accept connections.
+    // Starts accepting connections.
     void start();
 
-    // The port that it listens on.
+    // Returns the port that the server listens on.
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
   private:
     struct Connection;
     asio::awaitable<void> accept();
-    bool make_room();
+    bool evict_if_full();
     asio::awaitable<void> serve(asio::ip::tcp::socket socket);
     asio::awaitable<bool> serve_request(Connection& connection);
     asio::awaitable<Response> route(std::string method, std::string target, std::string body);
@@ -73,7 +74,7 @@
     double workerIdleS_;
     Handlers handlers_;
     ConnectionQuota quota_;
-    std::map<Caller, std::list<Connection*>> waiting_;  // for a request, longest first
+    std::map<Caller, std::list<Connection*>> waiting_;  // idle: waiting for a request, longest first
 };
 
 }  // namespace wellstair::api
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -11,24 +11,27 @@
 
 namespace {
 
-constexpr double kTimeoutS = 4;       // of one call; outages answer at once, cuts not at all
-constexpr double kShareOfRate = 0.6;  // a successor in the role may already be calling, too
-constexpr double kBackoffS = 1;       // mean, after a call that was refused or not answered
+// Per call. In an outage the cloud answers with an error at once; in a network partition it does not answer at all.
+constexpr double kTimeoutS = 4;
+// Fraction of the shared rate. The rest is left for a successor in the cloud role, which may already be calling.
+constexpr double kRateFraction = 0.6;
+constexpr double kBackoffS = 1;  // mean pause after a call that was throttled or not answered
 
-// Statuses of the protocol.
+// HTTP statuses of the protocol.
 constexpr int kOk = 200, kMalformed = 400, kTooManyRequests = 429, kUnavailable = 503;
 
-bool refused(const net::Reply& reply, const std::optional<Json>& body) {
+// Whether the cloud definitely did not execute a request for machines.
+bool is_refusal(const net::Reply& reply, const std::optional<Json>& body) {
     if (reply.status == kMalformed) return true;
     return reply.status == kUnavailable && body && wire::get_string(*body, "error") == "no capacity";
 }
 
 std::vector<std::string> host_names(const Json& body) {
-    std::vector<std::string> out;
+    std::vector<std::string> names;
     if (const Json* hosts = wire::get_array(body, "hosts"))
         for (const Json& host : *hosts)
-            if (host.is_string()) out.push_back(host.get<std::string>());
-    return out;
+            if (host.is_string()) names.push_back(host.get<std::string>());
+    return names;
 }
 
 std::string list_target(const std::string& after) {
@@ -52,16 +55,16 @@
 }
 
 Client::Client(asio::io_context& io, const config::Settings& settings)
-    : io_(io), http_(io, settings.cloudEndpoint), spacingS_(1 / (kShareOfRate * settings.cloudRps)) {}
+    : io_(io), http_(io, settings.cloudEndpoint), spacingS_(1 / (kRateFraction * settings.cloudRps)) {}
 
 asio::awaitable<net::Reply> Client::call(net::verb method, std::string target, std::string body) {
     const double nowS = net::steady_now();
-    const double atS = std::max(nowS, nextCallAtS_);
-    nextCallAtS_ = atS + spacingS_;
-    if (atS > nowS) co_await net::sleep_for(io_, atS - nowS);
+    const double startS = std::max(nowS, nextCallAtS_);
+    nextCallAtS_ = startS + spacingS_;
+    if (startS > nowS) co_await net::sleep_for(io_, startS - nowS);
     net::Reply reply = co_await http_.request(method, std::move(target), std::move(body), kTimeoutS);
     if (!reply.answered()) http_.drop_idle();
-    // Refused or in trouble: leave it alone for a moment.
+    // The cloud throttles this client or does not answer: pause before the next call.
     if (!reply.answered() || reply.status == kTooManyRequests)
         nextCallAtS_ = net::steady_now() + net::jitter(kBackoffS);
     co_return reply;
@@ -73,10 +76,10 @@
     auto body = wire::decode(reply.body);
     const Json* list = body ? wire::get_array(*body, "builds") : nullptr;
     if (!list) co_return std::nullopt;
-    std::vector<wire::MachineType> out;
+    std::vector<wire::MachineType> types;
     for (const Json& entry : *list)
-        if (auto type = wire::parse_machine_type(entry)) out.push_back(std::move(*type));
-    co_return out;
+        if (auto type = wire::parse_machine_type(entry)) types.push_back(std::move(*type));
+    co_return types;
 }
 
 asio::awaitable<RentResult> Client::rent(std::string requestName, std::string machineType, std::string zone, bool spot,
@@ -94,7 +97,7 @@
     if (reply.status == kOk && body) {
         result.kind = RentResult::Kind::rented;
         result.hosts = host_names(*body);
-    } else if (refused(reply, body)) {
+    } else if (is_refusal(reply, body)) {
         result.kind = RentResult::Kind::refused;
     }
     co_return result;
@@ -108,7 +111,7 @@
 }
 
 asio::awaitable<std::optional<std::vector<wire::Machine>>> Client::list_machines() {
-    std::vector<wire::Machine> out;
+    std::vector<wire::Machine> machines;
     std::string lastName;
     for (;;) {
         net::Reply reply = co_await call(net::verb::get, list_target(lastName), "");
@@ -119,11 +122,11 @@
         for (const Json& entry : *hosts)
             if (auto machine = wire::parse_machine(entry)) {
                 lastName = machine->name;
-                out.push_back(std::move(*machine));
+                machines.push_back(std::move(*machine));
             }
         if (!wire::get_bool(*body, "hasNext").value_or(false) || hosts->empty()) break;
     }
-    co_return out;
+    co_return machines;
 }
 
 }  // namespace wellstair::cloud
--- a/tests/api_server_test.cpp
+++ b/tests/api_server_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server on the loopback device: paths, methods, headers and limits.
+// The HTTP server over the loopback interface: routing by path and method, response headers and the body limit.
 #include <gtest/gtest.h>
 
 #include "api/server.hpp"
@@ -21,18 +21,20 @@
     static asio::awaitable<api::Response> answer(api::Response response) { co_return response; }
 
     api::Handlers handlers() {
-        api::Handlers out;
-        out.submit = [this](const std::string& body) { return answer(submitted ? *submitted : echo("submit", body)); };
-        out.heartbeat = [](const std::string& body) { return answer(echo("heartbeat", body)); };
-        out.poll = [](const std::string& id) { return answer(echo("poll", id)); };
-        out.cancel = [](const std::string& id) { return answer(echo("cancel", id)); };
-        out.healthy = [this] { return healthy; };
-        return out;
+        api::Handlers handlers;
+        handlers.submit = [this](const std::string& body) {
+            return answer(submitted ? *submitted : echo("submit", body));
+        };
+        handlers.heartbeat = [](const std::string& body) { return answer(echo("heartbeat", body)); };
+        handlers.poll = [](const std::string& id) { return answer(echo("poll", id)); };
+        handlers.cancel = [](const std::string& id) { return answer(echo("cancel", id)); };
+        handlers.healthy = [this] { return healthy; };
+        return handlers;
     }
 
     void SetUp() override { server.start(); }
 
-    // Sends one request over a connection of its own and returns the reply.
+    // Sends one request over a new connection and returns the reply.
     Reply send(http::verb method, const std::string& target, const std::string& body = "") {
         Request request(method, target, 11);
         request.body() = body;
@@ -44,8 +46,8 @@
 
     asio::awaitable<Reply> exchange(Request request) {
         beast::tcp_stream stream(io);
-        asio::ip::tcp::endpoint to(asio::ip::address_v4::loopback(), server.port());
-        co_await stream.async_connect(to, asio::use_awaitable);
+        asio::ip::tcp::endpoint remote(asio::ip::address_v4::loopback(), server.port());
+        co_await stream.async_connect(remote, asio::use_awaitable);
         co_await http::async_write(stream, request, asio::use_awaitable);
         beast::flat_buffer buffer;
         Reply reply;
@@ -72,11 +74,11 @@
         EXPECT_EQ(send(verb::get, target).result_int(), 404u) << target;
 }
 
-TEST_F(ApiServer, NamesTheMethodThatIsAllowed) {
+TEST_F(ApiServer, ReportsAllowedMethodWith405) {
     using http::verb;
-    const std::pair<const char*, const char*> gets[] = {
+    const std::pair<const char*, const char*> postOnly[] = {
         {"/v2/runs", "POST"}, {"/checkin", "POST"}, {"/v2/runs/j-1/withdraw", "POST"}};
-    for (const auto& [target, allowed] : gets) {
+    for (const auto& [target, allowed] : postOnly) {
         const Reply reply = send(verb::get, target);
         EXPECT_EQ(reply.result_int(), 405u) << target;
         EXPECT_EQ(reply[http::field::allow], allowed) << target;
@@ -88,7 +90,7 @@
     }
 }
 
-TEST_F(ApiServer, TellsWhenToRetry) {
+TEST_F(ApiServer, SetsRetryAfterRoundedUpToSeconds) {
     submitted = api::Response{503, {{"error", "not now"}}, 0.2, ""};
     const Reply reply = send(http::verb::post, "/v2/runs", "B");
     EXPECT_EQ(reply.result_int(), 503u);
@@ -96,13 +98,13 @@
     EXPECT_EQ(reply[http::field::content_type], "application/msgpack");
 }
 
-TEST_F(ApiServer, TellsItsHealth) {
+TEST_F(ApiServer, AnswersHealthChecks) {
     EXPECT_EQ(send(http::verb::get, "/healthz").result_int(), 200u);
     healthy = false;
     EXPECT_EQ(send(http::verb::get, "/healthz").result_int(), 503u);
 }
 
-TEST_F(ApiServer, RefusesABodyBeyondTheLimit) {
+TEST_F(ApiServer, RejectsBodyAboveLimit) {
     EXPECT_EQ(send(http::verb::post, "/v2/runs", std::string(wire::kMaxBodyBytes + 1, 'x')).result_int(), 413u);
 }
 
--- a/tests/connection_quota_test.cpp
+++ b/tests/connection_quota_test.cpp
@@ -1,17 +1,18 @@
-// The shares of users and workers in the sockets of a controller.
+// The shares of users and workers in a controller's connections.
 #include "api/connection_quota.hpp"
 
 #include <gtest/gtest.h>
 
 using namespace wellstair::api;
 
-// One controller is left for all machines of a site half as large again as its sockets were dealt for: users keep a
-// part, workers the rest, and each may use what the other leaves.
-TEST(ConnectionQuota, NeitherWorkersNorUsersShutTheOthersOut) {
+// Workers or users could take all connections when one controller is left for all machines, and the site has 50% more
+// machines than the socket limit was planned for. Users must keep their share and workers the rest, and each may use
+// what the other leaves free.
+TEST(ConnectionQuota, WorkersAndUsersKeepTheirShares) {
     ConnectionQuota quota(1000);
     for (int i = 0; i < 1000; ++i) quota.acquire(Caller::worker);
     EXPECT_TRUE(quota.full());
-    // A user comes: a worker's connection goes, and so on until users have their part.
+    // Each new user connection replaces a worker's until users have their share.
     for (int i = 0; i < 100; ++i) {
         ASSERT_EQ(quota.over_quota(), Caller::worker);
         quota.release(Caller::worker);
@@ -19,7 +20,7 @@
         quota.acquire(Caller::user);
     }
     ASSERT_TRUE(quota.full());
-    // More users than that displace users.
+    // Above their share, users replace users.
     quota.release(Caller::worker);
     quota.acquire(Caller::user);
     EXPECT_EQ(quota.over_quota(), Caller::user);
--- a/tests/golden_requests_test.cpp
+++ b/tests/golden_requests_test.cpp
@@ -1,5 +1,5 @@
-// The requests that leave the clients of the state service, the cloud and the workers, as version fbb9d89 sent them:
-// methods, targets and bodies. Names inside the program may change, these may not.
+// The requests of the clients of the state service, the cloud and the workers: methods, targets and bodies, as recorded
+// from version fbb9d89. Guards against a rename inside the program that changes the protocol.
 #include <gtest/gtest.h>
 
 #include "cloud/client.hpp"
@@ -26,19 +26,19 @@
     }
 
     config::Settings settings() {
-        config::Settings s = test::site_settings();
-        s.stateEndpoint = s.cloudEndpoint = server_.endpoint();
-        s.cloudRps = 1000;
-        return s;
+        config::Settings settings = test::site_settings();
+        settings.stateEndpoint = settings.cloudEndpoint = server_.endpoint();
+        settings.cloudRps = 1000;
+        return settings;
     }
 
     std::vector<std::string> sent() const {
-        std::vector<std::string> out;
-        for (const auto& request : server_.requests()) out.push_back(request.text());
-        return out;
+        std::vector<std::string> texts;
+        for (const auto& request : server_.requests()) texts.push_back(request.text());
+        return texts;
     }
 
-    // What most requests are answered with: every client finds its own fields in it.
+    // The response to most requests. It has the fields of all replies, so that every client can read its own.
     Json reply_ = {{"epoch", 9},
                    {"hold", 7},
                    {"pairs", Json::array()},
@@ -56,7 +56,7 @@
                                                    {"address", "127.0.0.1:1"},
                                                    {"heldS", 1.0}}})}};
     boost::asio::io_context io_;
-    LoopbackServer server_{io_, [this](const ReceivedRequest& r) { return reply_to(r); }};
+    LoopbackServer server_{io_, [this](const ReceivedRequest& request) { return reply_to(request); }};
 };
 
 using Texts = std::vector<std::string>;
