--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// The program: command line, settings, log, and one controller on one thread.
+// The program: reads the command line and the settings, sets up logging, and runs one controller on one thread.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr int kExitFailure = 1;   // cannot run
-constexpr int kExitBadUsage = 2;  // of the command line or the settings
+constexpr int kExitFailure = 1;   // the controller could not start, or failed
+constexpr int kExitBadUsage = 2;  // invalid command line or settings
 
-// What the command line and the environment say.
+// Options from the command line and the environment.
 struct Options {
     std::string settingsPath;
     bool checkOnly = false;
@@ -26,34 +26,36 @@
     std::string placementMode = "lem";
 };
 
+// Logs to standard error at the level in LOG_LEVEL; an unset or unknown level counts as `info`.
 void set_up_log() {
     auto log = spdlog::stderr_logger_st("wellstair");
     log->set_pattern("%Y-%m-%dT%H:%M:%S.%eZ %l %v", spdlog::pattern_time_type::utc);
     const char* level = std::getenv("LOG_LEVEL");
-    std::string name = level ? level : "info";
-    log->set_level(name == "error" ? spdlog::level::err : name == "debug" ? spdlog::level::debug : spdlog::level::info);
+    std::string levelName = level ? level : "info";
+    log->set_level(levelName == "error"   ? spdlog::level::err
+                   : levelName == "debug" ? spdlog::level::debug
+                                          : spdlog::level::info);
     spdlog::set_default_logger(std::move(log));
 }
 
 void add_options(CLI::App& cli, Options& options) {
     cli.set_version_flag("--version", std::string("wellstair ") + WELLSTAIR_VERSION);
-    cli.add_option("--config", options.settingsPath, "the settings file (TOML)")
-        ->required()
-        ->envname("WELLSTAIR_CONFIG");
+    cli.add_option("--config", options.settingsPath, "settings file (TOML)")->required()->envname("WELLSTAIR_CONFIG");
     cli.add_flag("--check", options.checkOnly, "validate the settings and exit");
     cli.add_option("--lea-weight", options.tunables.leaWeight,
-                   "W, the weight of fetching in LEA; 0: the number of machines")
+                   "W, the weight of the image load time in LEA; 0: the number of machines")
         ->check(CLI::NonNegativeNumber)
         ->envname("WELLSTAIR_LEA_WEIGHT");
     cli.add_option("--fetch-rate", options.tunables.fetchGbPerS,
-                   "assumed fetch rate in GB/s; 0: as published by the cloud")
+                   "assumed image fetch rate of a machine in GB/s; 0: the rate that the cloud publishes")
         ->check(CLI::NonNegativeNumber)
         ->envname("WELLSTAIR_FETCH_RATE");
     cli.add_option("--headroom", options.tunables.headroom,
-                   "room kept free, as a multiple of what arrives during a boot")
+                   "capacity rented ahead of demand, as a multiple of the demand that arrives during a boot")
         ->check(CLI::NonNegativeNumber)
         ->envname("WELLSTAIR_HEADROOM");
-    cli.add_option("--placement", options.placementMode, "lem, or eft or lea alone (for comparisons)")
+    cli.add_option("--placement", options.placementMode,
+                   "placement algorithm: lem, or only eft or lea, for comparisons")
         ->check(CLI::IsMember({"lem", "eft", "lea"}))
         ->envname("WELLSTAIR_PLACEMENT");
 }
@@ -70,11 +72,11 @@
         boost::asio::io_context io(1);
         service::Service service(io, settings, tunables);
         service.start();
-        spdlog::info("{} listens on {}:{}", settings.member, settings.publicEndpoint.host,
+        spdlog::info("controller {} listening on {}:{}", settings.member, settings.publicEndpoint.host,
                      settings.publicEndpoint.port);
         io.run();
     } catch (const std::exception& e) {
-        spdlog::critical("cannot run: {}", e.what());
+        spdlog::critical("controller failed: {}", e.what());
         return kExitFailure;
     }
     return EXIT_SUCCESS;
@@ -84,8 +86,8 @@
 
 int main(int argc, char** argv) {
     CLI::App cli(
-        "wellstair: a controller of a cluster scheduler. Logs go to standard error, as much as LOG_LEVEL\n"
-        "(error, info, debug) says.");
+        "wellstair: a controller of a cluster scheduler. Logs go to standard error; LOG_LEVEL sets the level\n"
+        "(error, info or debug).");
     Options options;
     add_options(cli, options);
     try {
