--- a/src/service/cloud_loop.cpp
+++ b/src/service/cloud_loop.cpp
@@ -61,7 +61,7 @@
 
 asio::awaitable<void> CloudLoop::refresh_types(double nowS) {
     if (!context_.core.state().machine_types().empty() && nowS - lastTypesReadS_ <= kTypesValidS) co_return;
-    auto types = co_await cloud_.types();
+    auto types = co_await cloud_.list_machine_types();
     if (!types) co_return;
     lastTypesReadS_ = nowS;
     co_await write_types(std::move(*types));
@@ -84,7 +84,7 @@
     if (!may_call()) co_return;
     const double intervalS = std::max(kMinListIntervalS, context_.settings.listLagS / kListsPerListLag);
     if (nowS - lastMachinesReadS_ <= intervalS) co_return;
-    auto machines = co_await cloud_.list();
+    auto machines = co_await cloud_.list_machines();
     if (!machines) co_return;
     lastMachinesReadS_ = nowS;
     context_.core.set_machines(std::move(*machines), now());
--- a/src/service/round_loop.cpp
+++ b/src/service/round_loop.cpp
@@ -39,7 +39,7 @@
 }
 
 asio::awaitable<double> RoundLoop::decide(double startS) {
-    const double waitS = store_.writes().wait_for(kWritesPerRound, startS);
+    const double waitS = store_.writes().seconds_until(kWritesPerRound, startS);
     if (waitS > 0) co_await net::sleep_for(context_.io, std::min(waitS, kMaxWriteWaitS));
     startS = net::steady_now();
     state::TransactionBuilder builder = context_.core.round(now());
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr double kPageTimeoutS = 3;
-constexpr const char* kPageSize = "1000";  // keys
+constexpr const char* kPageSize = "1000";  // keys per page
 
-// Statuses of the protocol.
+// HTTP statuses of the protocol.
 constexpr int kOk = 200, kMalformed = 400, kNotFound = 404, kConflict = 409, kGone = 410, kTooManyRequests = 429,
               kUnavailable = 503;
 
@@ -125,34 +125,35 @@
 asio::awaitable<net::Reply> Client::call(net::HttpClient& http, net::verb method, std::string target, std::string body,
                                          double timeoutS) {
     const double sentS = net::steady_now();
-    requests_.spend(1, sentS);
+    requests_.consume(1, sentS);
     net::Reply reply = co_await http.request(method, std::move(target), std::move(body), timeoutS);
     if (!reply.answered()) {
         http.drop_idle();
     } else if (reply.status != kUnavailable) {
-        // As of when it was sent: a reply may have been held up on the way, and tells of no later moment than that.
-        lastOkS_ = std::max(lastOkS_, sentS);
+        // The time of sending counts: a reply may have been delayed in transit, so it proves no later contact.
+        lastContactS_ = std::max(lastContactS_, sentS);
         if (reply.status == kTooManyRequests)
-            requests_.refused(net::steady_now());
+            requests_.record_throttled(net::steady_now());
         else
-            requests_.served(net::steady_now());
+            requests_.record_served(net::steady_now());
     }
     co_return reply;
 }
 
 asio::awaitable<CommitResult> Client::commit(const Json& transaction, int writes, double timeoutS) {
     CommitResult result;
-    writes_.spend(writes, net::steady_now());
+    writes_.consume(writes, net::steady_now());
     net::Reply reply = co_await call(http_, net::verb::post, "/commit", wire::encode(transaction), timeoutS);
     if (reply.outcome == net::Reply::Outcome::not_sent) result.outcome = Outcome::unavailable;
     if (!reply.answered()) co_return result;
     auto body = wire::decode(reply.body);
     if (body) result.revision = wire::get_unsigned(*body, "epoch").value_or(0);
     result.outcome = outcome_of(reply.status, body, result.revision);
-    if (reply.status == kOk) writes_.served(net::steady_now());
-    if (result.outcome == Outcome::busy) writes_.refused(net::steady_now());
+    if (reply.status == kOk) writes_.record_served(net::steady_now());
+    if (result.outcome == Outcome::busy) writes_.record_throttled(net::steady_now());
     if (result.outcome == Outcome::malformed)
-        spdlog::error("the state service calls a transaction malformed: {}", body ? body->dump() : "?");
+        spdlog::error("state service rejected a transaction as malformed: {}",
+                      body ? body->dump() : "no readable response body");
     co_return result;
 }
 
@@ -174,7 +175,7 @@
 }
 
 asio::awaitable<std::optional<RevisionRange>> Client::read_all(const std::string& prefix,
-                                                               std::function<void(const Change&)> each) {
+                                                               std::function<void(const Change&)> visit) {
     RevisionRange range;
     std::string lastPath;
     for (;;) {
@@ -188,7 +189,7 @@
             for (const Json& entry : *pairs) {
                 const Change change = parse_pair(entry);
                 lastPath = change.path;
-                each(change);
+                visit(change);
             }
         if (!wire::get_bool(*body, "hasNext").value_or(false)) break;
     }
