--- a/tests/lowered_limits_test.cpp
+++ b/tests/lowered_limits_test.cpp
@@ -21,13 +21,13 @@
 TEST(Upgrade, WorksWhenLimitsAreEnforcedBeforeAnySplit) {
     InMemoryStateStore store;
     load_production_state(store);
-    store.enforce_limits(kNextLimits);
+    store.enforce_limits(kAnnouncedLimits);
     UpgradedController a(store);
     a.put("ws/members/b", state::MemberData{12, "b", 0}.encode());
-    a.rounds(200);
+    a.run_rounds(200);
     EXPECT_EQ(store.refusedAsMalformed, 1) << "a rejected oversized write must not be repeated";
     EXPECT_EQ(a.state().layout_revision(), 0u) << "the layout switch must wait for member b";
-    for (const auto& [name, host] : machines_of(store))
+    for (const auto& [name, host] : machines_in(store))
         if (host.returnState != state::ReturnState::gone) {
             EXPECT_EQ(host.incarnation, 21u) << name << " was not acquired";
         }
@@ -47,18 +47,18 @@
     load_production_state(store);
     {
         UpgradedController before(store);
-        before.other_is_new();
-        before.rounds(80);
+        before.upgrade_peer();
+        before.run_rounds(80);
     }
-    store.enforce_limits(kNextLimits);
-    UpgradedController a(store, kNextLimits, 50);
+    store.enforce_limits(kAnnouncedLimits);
+    UpgradedController a(store, kAnnouncedLimits, 50);
     std::size_t shards = 0;
     for (const auto& [key, value] : store.keys()) shards += key.starts_with("ws/hosts/");
     // Fifteen machines report at a time, each from another shard than the one before: more shards than fit into two
     // transactions.
     const std::size_t writes = store.log.size();
     int reported = 0;
-    for (const auto& [name, host] : machines_of(store)) {
+    for (const auto& [name, host] : machines_in(store)) {
         auto* record = a.state().host(name);
         if (record->incarnation == 50) continue;  // already acquired with its shard
         wire::Heartbeat heartbeat;
@@ -66,10 +66,10 @@
         heartbeat.zone = "a";
         heartbeat.fencingToken = host.fencingToken;
         a.core().request_acquisition(heartbeat);
-        if (++reported % 15 == 0) a.rounds(2);
+        if (++reported % 15 == 0) a.run_rounds(2);
     }
     auto all_acquired = [&] {
-        const auto machines = machines_of(store);
+        const auto machines = machines_in(store);
         return std::all_of(machines.begin(), machines.end(), [](const auto& machine) {
             return machine.second.returnState == state::ReturnState::gone || machine.second.incarnation == 50;
         });
@@ -131,15 +131,15 @@
 TEST_P(WideGangs, StartUnderLowLimits) {
     InMemoryStateStore store;
     load_production_state(store);
-    config::StateLimits next = kNextLimits;
+    config::StateLimits next = kAnnouncedLimits;
     next.transactionOperations = GetParam();
     UpgradedController a(store, next);
-    a.other_is_new();
+    a.upgrade_peer();
     a.round();
     ASSERT_EQ(a.state().layout().version, state::kLayoutWithSplitShards);
     add_small_shards(a);
     store.enforce_limits(next);
-    a.rounds(200);
+    a.run_rounds(200);
     const PlacedTasks tasks = idle_machines_of_distinct_shards(a);
     ASSERT_EQ(tasks.size(), kTasks);
     auto submit = a.core().new_transaction();
@@ -159,7 +159,7 @@
     ASSERT_TRUE(remove.remove_host(*tasks[3].second));
     ASSERT_TRUE(a.commit(remove).starts_with("ok"));
     EXPECT_TRUE(a.state().host(lost)->removed());
-    a.rounds(20);
+    a.run_rounds(20);
     EXPECT_EQ(job->task(3, a.state().chunk_size()).state, state::TaskState::open);
 }
 
@@ -171,8 +171,8 @@
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
-    a.other_is_new();
-    a.rounds(80);
+    a.upgrade_peer();
+    a.run_rounds(80);
     a.core().handle_rejected_transaction({"ws/hosts/a/1"}, a.now());
     auto builder = a.core().new_transaction();
     ASSERT_TRUE(builder.mark_for_return("n-000001", "a", 1'000'300, false, "test"));
--- a/tests/shard_split_test.cpp
+++ b/tests/shard_split_test.cpp
@@ -16,20 +16,20 @@
 TEST(Upgrade, SplitShardsKeepEveryMachineAndTask) {
     InMemoryStateStore store;
     load_production_state(store);
-    const auto before = machines_of(store);
+    const auto before = machines_in(store);
     UpgradedController a(store);
     const std::size_t tasks = placed_tasks(a.state());
-    a.other_is_new();
+    a.upgrade_peer();
     ASSERT_TRUE(a.round().starts_with("ok"));
-    ASSERT_EQ(a.core().state_limits(), kNextLimits);
+    ASSERT_EQ(a.core().state_limits(), kAnnouncedLimits);
     // Splits without running rounds, which would also re-register the machines of the process that has ended.
     while (state::HostShard* large = oversized_shard(a.state())) {
         state::TransactionBuilder builder = a.core().new_transaction();
         ASSERT_TRUE(builder.split(*large)) << large->key;
         ASSERT_TRUE(a.commit(builder).starts_with("ok")) << large->key;
     }
-    EXPECT_LE(a.largest_value(), kNextLimits.value_bytes());
-    EXPECT_EQ(machines_of(store), before);
+    EXPECT_LE(a.largest_value(), kAnnouncedLimits.value_bytes());
+    EXPECT_EQ(machines_in(store), before);
     EXPECT_EQ(placed_tasks(a.state()), tasks);
 }
 
@@ -37,7 +37,7 @@
 TEST(Upgrade, SplittingContinuesAfterACrashAtEachTransaction) {
     InMemoryStateStore store;
     load_production_state(store);
-    const std::size_t machines = machines_of(store).size();
+    const std::size_t machines = machines_in(store).size();
     std::size_t tasks = 0;
     {
         UpgradedController before(store);
@@ -46,16 +46,16 @@
     }
     std::uint64_t incarnation = 30;
     for (int transactions = 0; transactions < 60; ++transactions) {
-        UpgradedController a(store, kNextLimits, ++incarnation);
-        if (transactions == 0) a.other_is_new();
-        a.rounds(1);  // then it crashes
-        EXPECT_EQ(machines_of(store).size(), machines) << "after transaction " << transactions;
+        UpgradedController a(store, kAnnouncedLimits, ++incarnation);
+        if (transactions == 0) a.upgrade_peer();
+        a.run_rounds(1);  // then it crashes
+        EXPECT_EQ(machines_in(store).size(), machines) << "after transaction " << transactions;
     }
-    UpgradedController a(store, kNextLimits, ++incarnation);
-    a.rounds(60);
-    EXPECT_LE(a.largest_value(), kNextLimits.value_bytes());
+    UpgradedController a(store, kAnnouncedLimits, ++incarnation);
+    a.run_rounds(60);
+    EXPECT_LE(a.largest_value(), kAnnouncedLimits.value_bytes());
     EXPECT_EQ(placed_tasks(a.state()), tasks);
-    for (const auto& [name, host] : machines_of(store))
+    for (const auto& [name, host] : machines_in(store))
         if (host.returnState != state::ReturnState::gone) {
             EXPECT_EQ(host.incarnation, incarnation) << name;
         }
@@ -76,14 +76,14 @@
     UpgradedController setup(store);
     setup.put("ws/types", machine_types());
     setup.put("ws/hosts/a/3", state::encode_shard(hosts));
-    setup.other_is_new();
+    setup.upgrade_peer();
     setup.round();
-    store.enforce_limits(kNextLimits);
+    store.enforce_limits(kAnnouncedLimits);
     auto builder = setup.core().new_transaction();
     ASSERT_TRUE(builder.mark_for_return(hosts[50].name, "a", 1'000'300, false, "test"));
     EXPECT_EQ(setup.commit(builder).substr(0, 2), "ok");
-    EXPECT_EQ(machines_of(store).size(), hosts.size());
-    EXPECT_EQ(machines_of(store).at(hosts[50].name).returnState, state::ReturnState::marked);
+    EXPECT_EQ(machines_in(store).size(), hosts.size());
+    EXPECT_EQ(machines_in(store).at(hosts[50].name).returnState, state::ReturnState::marked);
 }
 
 // After a split, new machines are still registered in the original shard. Two processes that register the same machine
@@ -92,8 +92,8 @@
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
-    a.other_is_new();
-    a.rounds(80);
+    a.upgrade_peer();
+    a.run_rounds(80);
     wire::Heartbeat heartbeat;
     heartbeat.host = "n-000403", heartbeat.address = "10.1.1.1:9000", heartbeat.machineType = "c8",
     heartbeat.zone = "a";
@@ -102,7 +102,7 @@
     ASSERT_TRUE(second.acquire(heartbeat, "b", 22));
     EXPECT_TRUE(store.commit(first.build().body).starts_with("ok"));
     EXPECT_TRUE(store.commit(second.build().body).starts_with("conflict ws/hosts/a/1"));
-    machines_of(store);
+    machines_in(store);
 }
 
 // A reader that starts during a split may read the shard before the split and its parts after it, and then receives the
@@ -111,7 +111,7 @@
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
-    a.other_is_new();
+    a.upgrade_peer();
     a.round();
     const auto before = store.keys();
     const std::uint64_t revision = store.revision;
@@ -137,7 +137,7 @@
         for (const auto& change : changes)
             reader.apply(change.path, change.data ? &*change.data : nullptr, change.revision, 0);
         reader.advance(store.revision);
-        for (const auto& [name, host] : machines_of(store)) {
+        for (const auto& [name, host] : machines_in(store)) {
             auto* record = reader.host(name);
             ASSERT_TRUE(record && record->shard) << name;
             EXPECT_EQ(static_cast<state::HostEntry&>(*record), host) << name;
@@ -150,7 +150,7 @@
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
-    a.other_is_new();
+    a.upgrade_peer();
     a.round();
     int registered = 0, removed = 0;
     auto onRegistered = a.state().onRegistered;
--- a/tests/simulation/cluster_controllers.cpp
+++ b/tests/simulation/cluster_controllers.cpp
@@ -22,7 +22,7 @@
 
 bool SimulatedCluster::commit(SimulatedController& controller, const wire::Json& body) {
     if (!state_.has_store(controller)) return false;
-    if (random_.chance(state_.scenario.lostTransactionReplies) && before_faults_end()) {
+    if (random_.chance(state_.scenario.lostTransactionReplyShare) && before_faults_end()) {
         // No reply: it is applied later, or never.
         if (random_.chance(0.7)) {
             const double longestS = random_.chance(0.5) ? 12 : 60;
@@ -40,9 +40,9 @@
 }
 
 void SimulatedCluster::start_process(SimulatedController& controller) {
-    controller.incarnation = ++incarnations_;
+    controller.incarnation = ++lastIncarnation_;
     controller.readBarrier = leadership::CancellationReadBarrier(controller.incarnation * kReadRequestsPerProcess);
-    controller.runsOldVersion = !controller.replaced;
+    controller.runsOldVersion = !controller.upgraded;
     const bool limitsAnnounced = state_.scenario.upgrade && !controller.runsOldVersion;
     controller.settings.nextStateLimits = limitsAnnounced ? std::optional(kLoweredStateLimits) : std::nullopt;
     controller.core =
@@ -68,7 +68,7 @@
     const auto requestNumber = controller.readBarrier.next_request(state_.nowS);
     for (SimulatedController& peer : state_.controllers) {
         if (&peer == &controller || !peer.core) continue;
-        if (state_.nowS < std::max(peer.peersCutUntilS, controller.peersCutUntilS)) continue;
+        if (state_.nowS < std::max(peer.peersUnreachableUntilS, controller.peersUnreachableUntilS)) continue;
         if (state_.partitioned(controller.settings.location, peer.settings.location)) continue;
         if (random_.chance(kPeerPacketLost)) continue;
         controller.core->record_cancellations(peer.core->cancellations());
@@ -94,7 +94,7 @@
         state_.timestamp());
 }
 
-void SimulatedCluster::plan(SimulatedController& controller) {
+void SimulatedCluster::run_planning_phase(SimulatedController& controller) {
     if (!controller.core) {
         if (state_.nowS < controller.restartAtS || !state_.has_store(controller)) return;
         start_process(controller);
@@ -110,7 +110,7 @@
     if (!builder.empty()) controller.planned = builder.build().body;
 }
 
-void SimulatedCluster::act(SimulatedController& controller) {
+void SimulatedCluster::run_commit_phase(SimulatedController& controller) {
     if (!state_.accepts_requests(controller)) return;
     if (!controller.planned.is_null()) commit(controller, std::exchange(controller.planned, nullptr));
     send_due_commands(controller);
--- a/tests/simulation/cluster_invariants.cpp
+++ b/tests/simulation/cluster_invariants.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 double team_limit(const std::string& team) {
-    return team == "red" ? kRedCores : kBlueCores;
+    return team == "red" ? kTeamRedMaxCores : kTeamBlueMaxCores;
 }
 
 }  // namespace
@@ -64,12 +64,12 @@
     CoresByTeam used = check_cancellations();
     check_leases();
     check_quota(used);
-    check_waiting(used);
+    check_waiting_jobs(used);
     for (SimulatedController& controller : cluster_.controllers) {
         if (!controller.core || !cluster_.has_store(controller)) continue;
         // A phase that is not final is answered only from a read of that moment.
         if (cluster_.nowS < controller.slowReadsUntilS) continue;
-        check_answers(controller);
+        check_job_phases(controller);
     }
 }
 
@@ -98,23 +98,23 @@
             const auto* tracker = worker.present ? controller.core->tracker(worker.name) : nullptr;
             if (!tracker || tracker->state != state::HostState::expired) continue;
             const bool obeyed = tracker->leaderToken == worker.fencingToken && tracker->agentEpoch == worker.agentEpoch;
-            if (!obeyed || !worker.renewed) continue;
-            EXPECT_GE(cluster_.nowS - worker.leaseFromS, kLeaseS)
+            if (!obeyed || !worker.leaseRenewed) continue;
+            EXPECT_GE(cluster_.nowS - worker.leaseStartS, kLeaseS)
                 << controller.settings.member << " counts the lease of " << worker.name << " as ended at "
-                << cluster_.nowS << ", the worker counts it from " << worker.leaseFromS;
+                << cluster_.nowS << ", the worker counts it from " << worker.leaseStartS;
         }
     }
 }
 
 void ClusterInvariants::check_quota(CoresByTeam& used) const {
-    EXPECT_LE(used["red"], kRedCores) << "the quota of team red at " << cluster_.nowS;
-    EXPECT_LE(used["blue"], kBlueCores) << "the quota of team blue at " << cluster_.nowS;
+    EXPECT_LE(used["red"], kTeamRedMaxCores) << "the quota of team red at " << cluster_.nowS;
+    EXPECT_LE(used["blue"], kTeamBlueMaxCores) << "the quota of team blue at " << cluster_.nowS;
 }
 
 // --- answers to users
 
-void ClusterInvariants::check_known(SimulatedController& controller, const std::string& id,
-                                    const SubmittedJob& job) const {
+void ClusterInvariants::check_accepted_job(SimulatedController& controller, const std::string& id,
+                                           const SubmittedJob& job) const {
     bool unsure = false;
     EXPECT_FALSE(controller.core->infeasibility_reason(job.spec, unsure).has_value()) << id;
     ASSERT_TRUE(controller.core->find_submission(id).has_value())
@@ -122,17 +122,17 @@
     EXPECT_EQ(controller.core->job_status(id).status, 200) << id;
 }
 
-void ClusterInvariants::check_answers(SimulatedController& controller) {
+void ClusterInvariants::check_job_phases(SimulatedController& controller) {
     cluster_.sync(controller);
     for (auto& [id, job] : cluster_.jobs) {
         auto answer = controller.core->find_submission(id);
-        if (answer) check_answer(controller, id, job, answer->body.value("phase", ""));
+        if (answer) check_job_phase(controller, id, job, answer->body.value("phase", ""));
     }
 }
 
 // A final phase is justified, and the first one that was told stands.
-void ClusterInvariants::check_answer(SimulatedController& controller, const std::string& id, SubmittedJob& job,
-                                     const std::string& phase) const {
+void ClusterInvariants::check_job_phase(SimulatedController& controller, const std::string& id, SubmittedJob& job,
+                                        const std::string& phase) const {
     if (phase == "done") {
         EXPECT_FALSE(job.spec.service()) << id << ", a service, is called done";
         EXPECT_EQ(job.completed.size(), job.spec.taskCount) << id << " is called done early";
@@ -154,8 +154,8 @@
 // --- waiting
 
 // Once the faults are over: no job without a task waits while machines that fit have room and its team may use it.
-void ClusterInvariants::check_waiting(CoresByTeam used) {
-    if (cluster_.nowS < kFaultsUntilS + kLeaseS) return;
+void ClusterInvariants::check_waiting_jobs(CoresByTeam used) {
+    if (cluster_.nowS < kFaultsEndS + kLeaseS) return;
     auto reader = std::find_if(cluster_.controllers.begin(), cluster_.controllers.end(),
                                [&](const SimulatedController& each) { return each.core && cluster_.has_store(each); });
     if (reader == cluster_.controllers.end()) return;
@@ -164,8 +164,9 @@
     for (const auto& [team, record] : state.teams())
         used[team] = std::max(used[team], static_cast<double>(record.total.cores) / 1000);
     for (auto& [id, job] : cluster_.jobs) {
-        job.waitsS = waits_beside_room(id, job, used, state) ? job.waitsS + kStepS : 0;
-        EXPECT_LT(job.waitsS, kLongestWaitS)
+        job.waitingDespiteCapacityS =
+            waits_despite_capacity(id, job, used, state) ? job.waitingDespiteCapacityS + kStepS : 0;
+        EXPECT_LT(job.waitingDespiteCapacityS, kMaxWaitDespiteCapacityS)
             << id << " of " << job.spec.taskCount << " x " << job.spec.cores << " cores, team " << job.spec.team
             << ", priority " << static_cast<int>(job.spec.priority) << ", waits beside machines with room at "
             << cluster_.nowS << "\n"
@@ -173,16 +174,17 @@
     }
 }
 
-bool ClusterInvariants::waits_beside_room(const std::string& id, const SubmittedJob& job, const CoresByTeam& used,
-                                          state::StateCache& state) const {
+bool ClusterInvariants::waits_despite_capacity(const std::string& id, const SubmittedJob& job, const CoresByTeam& used,
+                                               state::StateCache& state) const {
     const wire::JobSpec& spec = job.spec;
     if (!job.accepted || job.cancelRequested || !job.completed.empty()) return false;
     std::map<std::string, std::uint32_t> roomByZone;
     for (const SimulatedWorker& worker : cluster_.workers) {
-        const double faultyUntilS = std::max({worker.unreachableUntilS, worker.silentUntilS, worker.hungUntilS});
+        const double faultyUntilS =
+            std::max({worker.unreachableUntilS, worker.heartbeatsLostUntilS, worker.hungUntilS});
         if (!worker.present || cluster_.nowS < faultyUntilS) continue;
         if (worker.has_task_of(id)) return false;
-        const double taken = taken_cores(worker, state);
+        const double taken = allocated_cores(worker, state);
         if (worker.fits(spec) && taken < kMachineCores)
             roomByZone[worker.zone] += static_cast<std::uint32_t>((kMachineCores - taken) / spec.cores);
     }
@@ -195,7 +197,7 @@
 }
 
 // A task that is placed and on its way to its machine counts: the second between two tasks is no room.
-double ClusterInvariants::taken_cores(const SimulatedWorker& worker, state::StateCache& state) const {
+double ClusterInvariants::allocated_cores(const SimulatedWorker& worker, state::StateCache& state) const {
     double running = 0;
     for (const auto& [key, task] : worker.tasks)
         if (!task.ended()) running += cluster_.jobs.at(key.first).spec.cores;
@@ -213,7 +215,7 @@
         for (SimulatedController& controller : cluster_.controllers)
             if (controller.core) check_final_phase(controller, id, job);
     }
-    check_coverage();
+    check_run_coverage();
 }
 
 void ClusterInvariants::check_final_phase(SimulatedController& controller, const std::string& id,
@@ -234,12 +236,12 @@
 }
 
 // The run has shown what it is meant to show.
-void ClusterInvariants::check_coverage() const {
+void ClusterInvariants::check_run_coverage() const {
     EXPECT_GT(cluster_.jobs.size(), 5u) << "a run without jobs shows nothing";
-    EXPECT_GT(cluster_.starts, 5) << "a run without starts shows nothing";
+    EXPECT_GT(cluster_.startedTasks, 5) << "a run without starts shows nothing";
     if (!cluster_.scenario.upgrade) return;
     EXPECT_TRUE(cluster_.store.revision_of("ws/layout")) << "the layout was not switched";
-    EXPECT_GT(cluster_.services, 0) << "an upgrade without services shows half of it";
+    EXPECT_GT(cluster_.acceptedServices, 0) << "an upgrade without services shows half of it";
     EXPECT_TRUE(std::any_of(cluster_.store.log.begin(), cluster_.store.log.end(), [](const auto& change) {
         return change.path.starts_with("ws/hosts/") && change.path.find('.') != std::string::npos;
     })) << "no shard was divided";
--- a/tests/simulation/cluster_invariants.hpp
+++ b/tests/simulation/cluster_invariants.hpp
@@ -21,7 +21,7 @@
     // Checked at the end of every step.
     void check_step();
     // Checked when a user asks about an accepted job, or repeats its submission.
-    void check_known(SimulatedController& controller, const std::string& id, const SubmittedJob& job) const;
+    void check_accepted_job(SimulatedController& controller, const std::string& id, const SubmittedJob& job) const;
     // Checked when the run is over: every accepted job has ended or serves, at every controller.
     void check_end();
 
@@ -33,18 +33,18 @@
     CoresByTeam check_cancellations() const;
     void check_leases() const;
     void check_quota(CoresByTeam& used) const;
-    void check_waiting(CoresByTeam used);
-    void check_answers(SimulatedController& controller);
-    void check_answer(SimulatedController& controller, const std::string& id, SubmittedJob& job,
-                      const std::string& phase) const;
+    void check_waiting_jobs(CoresByTeam used);
+    void check_job_phases(SimulatedController& controller);
+    void check_job_phase(SimulatedController& controller, const std::string& id, SubmittedJob& job,
+                         const std::string& phase) const;
     void check_final_phase(SimulatedController& controller, const std::string& id, const SubmittedJob& job) const;
-    void check_coverage() const;
+    void check_run_coverage() const;
 
     // Cores of the machine that tasks use, or that are placed on it and not there yet.
-    double taken_cores(const SimulatedWorker& worker, state::StateCache& state) const;
+    double allocated_cores(const SimulatedWorker& worker, state::StateCache& state) const;
     // Whether the job waits although some zone has room and its team may use it.
-    bool waits_beside_room(const std::string& id, const SubmittedJob& job, const CoresByTeam& used,
-                           state::StateCache& state) const;
+    bool waits_despite_capacity(const std::string& id, const SubmittedJob& job, const CoresByTeam& used,
+                                state::StateCache& state) const;
 
     ClusterState& cluster_;
 };
--- a/tests/simulation/cluster_messages.cpp
+++ b/tests/simulation/cluster_messages.cpp
@@ -39,8 +39,8 @@
     SimulatedWorker* worker = state_.find_worker(sent.host);
     const bool reaches = worker && state_.can_reach(state_.controllers[sent.controller], *worker) &&
                          state_.nowS >= worker->unreachableUntilS;
-    if (!reaches || (random_.chance(state_.scenario.lostCommands) && before_faults_end())) {
-        lose_commands(sent, worker);
+    if (!reaches || (random_.chance(state_.scenario.lostCommandReplyShare) && before_faults_end())) {
+        drop_commands(sent, worker);
         return;
     }
     if (sent.agentEpoch == worker->agentEpoch && sent.fencingToken >= worker->fencingToken) {
@@ -52,7 +52,7 @@
 }
 
 // Commands that are lost on the way may still arrive, a minute and a half later at most.
-void SimulatedCluster::lose_commands(const SentCommands& sent, const SimulatedWorker* worker) {
+void SimulatedCluster::drop_commands(const SentCommands& sent, const SimulatedWorker* worker) {
     const bool hangs = worker && state_.nowS < worker->hungUntilS;
     if (hangs || random_.chance(0.5)) delayedCommands_.push_back({state_.nowS + random_.between(0.5, 90), sent});
     if (controller::Core* core = state_.process(sent.controller, sent.incarnation))
@@ -74,8 +74,8 @@
 
 // --- heartbeats
 
-SimulatedCluster::HeartbeatAnswer SimulatedCluster::answer(SimulatedController& controller,
-                                                           const wire::Heartbeat& heartbeat) {
+SimulatedCluster::HeartbeatReply SimulatedCluster::handle_heartbeat(SimulatedController& controller,
+                                                                    const wire::Heartbeat& heartbeat) {
     using controller::HeartbeatResponse;
     HeartbeatResponse response = controller.core->handle_heartbeat(heartbeat, state_.timestamp());
     if (response.kind == HeartbeatResponse::redirect) return {421, response.leader, 0, {}};
@@ -91,19 +91,19 @@
     send_heartbeat(worker);
 }
 
-void SimulatedCluster::try_next_controller(SimulatedWorker& worker, double inS) const {
+void SimulatedCluster::try_next_controller(SimulatedWorker& worker, double delayS) const {
     worker.awaitedHeartbeat = 0;
     worker.controller = (worker.controller + 1) % controller_count();
-    worker.nextHeartbeatS = state_.nowS + inS;
+    worker.nextHeartbeatS = state_.nowS + delayS;
 }
 
 void SimulatedCluster::send_heartbeat(SimulatedWorker& worker) {
     const wire::Heartbeat heartbeat = worker.next_heartbeat();
     worker.lastHeartbeatS = state_.nowS;
     worker.awaitedHeartbeat = heartbeat.sequence;
-    if (random_.chance(state_.scenario.delayedHeartbeatCopies) && before_faults_end())
+    if (random_.chance(state_.scenario.delayedHeartbeatCopyShare) && before_faults_end())
         heartbeatCopies_.push_back({state_.nowS + random_.between(1, 80), worker.controller, heartbeat});
-    if (state_.nowS < worker.silentUntilS) return;
+    if (state_.nowS < worker.heartbeatsLostUntilS) return;
     network_.send(state_.nowS, network_.next_delay(state_.nowS),
                   [this, host = worker.name, controller = worker.controller, heartbeat] {
                       receive_heartbeat(host, controller, heartbeat);
@@ -115,14 +115,14 @@
     SimulatedController& controller = state_.controllers[index];
     if (!worker || !controller.core || !state_.can_reach(controller, *worker)) return;
     update_availability(controller);
-    HeartbeatAnswer reply = answer(controller, heartbeat);
+    HeartbeatReply reply = handle_heartbeat(controller, heartbeat);
     network_.send(state_.nowS, network_.next_delay(state_.nowS),
-                  [this, host, heartbeat, reply] { receive_answer(host, heartbeat, reply); });
+                  [this, host, heartbeat, reply] { receive_heartbeat_reply(host, heartbeat, reply); });
 }
 
 // An answer that comes too late, or to a heartbeat of an earlier session, is dropped.
-void SimulatedCluster::receive_answer(const std::string& host, const wire::Heartbeat& heartbeat,
-                                      const HeartbeatAnswer& answer) {
+void SimulatedCluster::receive_heartbeat_reply(const std::string& host, const wire::Heartbeat& heartbeat,
+                                               const HeartbeatReply& answer) {
     SimulatedWorker* worker = state_.find_worker(host);
     if (!worker || state_.nowS < worker->unreachableUntilS || state_.nowS < worker->hungUntilS) return;
     if (worker->agentEpoch != heartbeat.agentEpoch || worker->awaitedHeartbeat != heartbeat.sequence) return;
@@ -137,8 +137,8 @@
     } else if (answer.fencingToken >= worker->fencingToken) {
         if (answer.fencingToken > worker->fencingToken) worker->nextHeartbeatS = state_.nowS + kConfirmTokenS;
         worker->fencingToken = answer.fencingToken;
-        worker->leaseFromS = worker->lastHeartbeatS;
-        worker->renewed = true;
+        worker->leaseStartS = worker->lastHeartbeatS;
+        worker->leaseRenewed = true;
         execute(*worker, answer.commands);
     }
 }
--- a/tests/simulation/cluster_state.cpp
+++ b/tests/simulation/cluster_state.cpp
@@ -4,17 +4,17 @@
 
 namespace wellstair::test {
 
-bool ClusterState::zone_cut(const std::string& zone) const {
-    auto it = zoneCutUntilS.find(zone);
-    return it != zoneCutUntilS.end() && nowS < it->second;
+bool ClusterState::zone_isolated(const std::string& zone) const {
+    auto it = zoneIsolatedUntilS.find(zone);
+    return it != zoneIsolatedUntilS.end() && nowS < it->second;
 }
 
 bool ClusterState::partitioned(const std::string& zone, const std::string& other) const {
-    return zone != other && (zone_cut(zone) || zone_cut(other));
+    return zone != other && (zone_isolated(zone) || zone_isolated(other));
 }
 
 bool ClusterState::has_store(const SimulatedController& controller) const {
-    return nowS >= controller.storeCutUntilS && !zone_cut(controller.settings.location);
+    return nowS >= controller.storeUnreachableUntilS && !zone_isolated(controller.settings.location);
 }
 
 bool ClusterState::accepts_requests(const SimulatedController& controller) const {
@@ -22,7 +22,7 @@
 }
 
 bool ClusterState::can_reach(const SimulatedController& controller, const SimulatedWorker& worker) const {
-    return worker.present && nowS >= controller.workersCutUntilS && nowS >= worker.hungUntilS &&
+    return worker.present && nowS >= controller.workersUnreachableUntilS && nowS >= worker.hungUntilS &&
            !partitioned(controller.settings.location, worker.zone);
 }
 
--- a/tests/simulation/cluster_state.hpp
+++ b/tests/simulation/cluster_state.hpp
@@ -20,11 +20,11 @@
 struct SubmittedJob {
     wire::JobSpec spec;
     bool accepted = false;
-    bool cancelRequested = false;       // the answer may have been lost
-    double cancelConfirmedS = -1;       // when the user was first told that it is cancelled; -1: never
-    double waitsS = 0;                  // after the faults: for how long a machine has had room for it
-    std::set<std::uint32_t> completed;  // tasks that have ended with success
-    std::string finalPhase;             // the first final phase that a controller told
+    bool cancelRequested = false;        // the answer may have been lost
+    double cancelConfirmedS = -1;        // when the user was first told that it is cancelled; -1: never
+    double waitingDespiteCapacityS = 0;  // after the faults: for how long a machine has had room for it
+    std::set<std::uint32_t> completed;   // tasks that have ended with success
+    std::string finalPhase;              // the first final phase that a controller told
 
     // Whether it may not run any more: the user was told of its cancellation more than kCancelS ago.
     bool cancelOverdue(double nowS) const { return cancelConfirmedS >= 0 && nowS > cancelConfirmedS + kCancelS; }
@@ -39,16 +39,16 @@
     std::deque<SimulatedController> controllers;
     std::deque<SimulatedWorker> workers;
     std::map<std::string, SubmittedJob> jobs;
-    std::map<std::string, double> zoneCutUntilS;
-    int starts = 0;    // tasks started
-    int services = 0;  // services accepted
+    std::map<std::string, double> zoneIsolatedUntilS;
+    int startedTasks = 0;      // tasks started
+    int acceptedServices = 0;  // services accepted
 
     // The simulated clock as a controller sees it.
     controller::Timestamp timestamp() const { return {nowS, 1'000'000 + nowS}; }
     // Whether the step that begins now is the one of the time `atS`.
-    bool is_step_of(double atS) const { return nowS >= atS && nowS < atS + kStepS; }
+    bool step_contains(double atS) const { return nowS >= atS && nowS < atS + kStepS; }
 
-    bool zone_cut(const std::string& zone) const;
+    bool zone_isolated(const std::string& zone) const;
     // Whether nothing gets from a process in one zone to one in another. The state service belongs to no zone.
     bool partitioned(const std::string& zone, const std::string& other) const;
     bool has_store(const SimulatedController& controller) const;
--- a/tests/simulation/cluster_tasks.cpp
+++ b/tests/simulation/cluster_tasks.cpp
@@ -32,7 +32,7 @@
     invariants_.check_start(worker, key);
     const auto job = state_.jobs.find(command.job);
     if (job == state_.jobs.end()) return;
-    ++state_.starts;
+    ++state_.startedTasks;
     const double endsAtS = state_.nowS + random_duration_s(job->second, command.index);
     worker.tasks[key] = {command.attempt, wire::TaskPhase::running, wire::Cause::none, endsAtS, state_.nowS};
 }
@@ -41,7 +41,7 @@
     const bool resultKept = job.completed.count(index) > 0;
     const double durationS = resultKept ? kRepeatedTaskS : job.spec.estimatedDurationS * random_.between(0.5, 1.5);
     if (!job.spec.service()) return durationS;
-    return before_faults_end() && random_.chance(kReplicaFails) ? random_.between(5, 60) : kEndS;
+    return before_faults_end() && random_.chance(kReplicaFails) ? random_.between(5, 60) : kRunTimeoutS;
 }
 
 void SimulatedCluster::run_worker(SimulatedWorker& worker) {
@@ -66,10 +66,10 @@
     std::vector<SimulatedTask*> together = {&task};
     if (spec.kind == wire::JobKind::gang) together = running_gang(key, task);
     const bool gangComplete = spec.kind != wire::JobKind::gang || together.size() == spec.taskCount;
-    if (gangComplete) task.gangCompleteAtS = state_.nowS;
+    if (gangComplete) task.gangLastCompleteAtS = state_.nowS;
     if (gangComplete && due) {
         complete(key, together);
-    } else if (!gangComplete && state_.nowS - task.gangCompleteAtS > kGangPeerTimeoutS) {
+    } else if (!gangComplete && state_.nowS - task.gangLastCompleteAtS > kGangPeerTimeoutS) {
         task.end(wire::Cause::gang_peer_lost);
     }
 }
@@ -95,7 +95,7 @@
     else
         job.completed.insert(key.second);
     // A user cancels it at the very moment at which its last task ends.
-    if (job.complete() && random_.chance(cancelAtEnd_))
+    if (job.complete() && random_.chance(cancelAtCompletionChance_))
         cancel(key.first, state_.controllers[random_.pick(controller_count())]);
 }
 
--- a/tests/simulation/cluster_users.cpp
+++ b/tests/simulation/cluster_users.cpp
@@ -14,7 +14,7 @@
     spec.image = "img";
     spec.team = random_.chance(0.5) ? "red" : "blue";
     spec.priority =
-        random_.chance(state_.scenario.urgentJobs) ? wire::PriorityClass::urgent : wire::PriorityClass::standard;
+        random_.chance(state_.scenario.urgentJobShare) ? wire::PriorityClass::urgent : wire::PriorityClass::standard;
     if (random_.chance(0.25)) spec.zone = random_.chance(0.5) ? "a" : "b";
     if (random_.chance(0.15)) spec.machineTypes = {"c8"};
     spec.spotAllowed = random_.chance(0.6);
@@ -23,7 +23,7 @@
     // Nothing new is asked for before all controllers have the new version.
     const bool allNew = std::none_of(state_.controllers.begin(), state_.controllers.end(),
                                      [](const SimulatedController& each) { return each.runsOldVersion; });
-    const bool mayServe = allNew && !gang && state_.nowS > kServicesFromS && state_.services < kMaxServices;
+    const bool mayServe = allNew && !gang && state_.nowS > kServicesStartS && state_.acceptedServices < kMaxServices;
     service = mayServe && random_.chance(0.3);
     if (service) spec.kind = wire::JobKind::service;
     spec.taskCount = gang ? 2 : 1 + static_cast<std::uint32_t>(random_.pick(3));
@@ -57,7 +57,7 @@
     auto builder = controller.core->new_transaction();
     builder.submit(spec, controller.settings.member, static_cast<std::int64_t>(state_.timestamp().wall));
     job.accepted = commit(controller, builder);
-    state_.services += service && job.accepted;
+    state_.acceptedServices += service && job.accepted;
 }
 
 bool SimulatedCluster::cancel(const std::string& id, SimulatedController& controller) {
@@ -75,7 +75,7 @@
     return true;
 }
 
-void SimulatedCluster::cancel_any() {
+void SimulatedCluster::cancel_random_job() {
     if (state_.jobs.empty()) return;
     auto it = state_.jobs.begin();
     std::advance(it, random_.pick(state_.jobs.size()));
@@ -83,14 +83,14 @@
 }
 
 // A user asks about a job or repeats its submission, by way of whichever controller the balancer gives it.
-void SimulatedCluster::query_any() {
+void SimulatedCluster::query_random_job() {
     if (state_.jobs.empty()) return;
     auto it = state_.jobs.begin();
     std::advance(it, random_.pick(state_.jobs.size()));
     SimulatedController& controller = state_.controllers[random_.pick(controller_count())];
     if (!it->second.accepted || !state_.accepts_requests(controller)) return;
     state_.sync(controller);
-    invariants_.check_known(controller, it->first, it->second);
+    invariants_.check_accepted_job(controller, it->first, it->second);
 }
 
 }  // namespace wellstair::test
--- a/tests/simulation/delayed_deliveries.cpp
+++ b/tests/simulation/delayed_deliveries.cpp
@@ -7,7 +7,7 @@
     return !delayedTransactions_.empty() || !delayedCommands_.empty() || !heartbeatCopies_.empty() || !network_.empty();
 }
 
-void SimulatedCluster::deliver_late() {
+void SimulatedCluster::deliver_delayed() {
     apply_delayed_transactions();
     execute_delayed_commands();
     deliver_heartbeat_copies();
@@ -55,9 +55,9 @@
             continue;
         }
         SimulatedController& controller = state_.controllers[it->controller];
-        if (controller.core && state_.nowS >= controller.workersCutUntilS) {
+        if (controller.core && state_.nowS >= controller.workersUnreachableUntilS) {
             update_availability(controller);
-            answer(controller, it->heartbeat);
+            handle_heartbeat(controller, it->heartbeat);
         }
         it = heartbeatCopies_.erase(it);
     }
--- a/tests/simulation/fault_injection.cpp
+++ b/tests/simulation/fault_injection.cpp
@@ -33,11 +33,11 @@
 
 }  // namespace
 
-void SimulatedCluster::extend(double& untilS, double forS) const {
-    untilS = std::max(untilS, state_.nowS + forS);
+void SimulatedCluster::extend(double& untilS, double durationS) const {
+    untilS = std::max(untilS, state_.nowS + durationS);
 }
 
-std::size_t SimulatedCluster::leader() {
+std::size_t SimulatedCluster::leader_of_most_machines() {
     std::map<std::string, int> machines;
     for (SimulatedController& controller : state_.controllers) {
         if (!controller.core) continue;
@@ -51,51 +51,51 @@
     return best;
 }
 
-void SimulatedCluster::crash(std::size_t controller, double forS) {
-    state_.controllers[controller].crash(state_.nowS + forS);
+void SimulatedCluster::crash(std::size_t controller, double durationS) {
+    state_.controllers[controller].crash(state_.nowS + durationS);
 }
 
-void SimulatedCluster::cut_store(std::size_t controller, double forS) {
-    extend(state_.controllers[controller].storeCutUntilS, forS);
+void SimulatedCluster::disconnect_store(std::size_t controller, double durationS) {
+    extend(state_.controllers[controller].storeUnreachableUntilS, durationS);
 }
 
-void SimulatedCluster::cut_peers(std::size_t controller, double forS) {
-    extend(state_.controllers[controller].peersCutUntilS, forS);
+void SimulatedCluster::disconnect_peers(std::size_t controller, double durationS) {
+    extend(state_.controllers[controller].peersUnreachableUntilS, durationS);
 }
 
-void SimulatedCluster::outage(double forS) {
-    for (SimulatedController& controller : state_.controllers) extend(controller.storeCutUntilS, forS);
-    extend(outageUntilS_, forS);
+void SimulatedCluster::store_outage(double durationS) {
+    for (SimulatedController& controller : state_.controllers) extend(controller.storeUnreachableUntilS, durationS);
+    extend(outageUntilS_, durationS);
 }
 
-void SimulatedCluster::slow_store(double forS) {
-    for (SimulatedController& controller : state_.controllers) extend(controller.slowReadsUntilS, forS);
+void SimulatedCluster::slow_store_reads(double durationS) {
+    for (SimulatedController& controller : state_.controllers) extend(controller.slowReadsUntilS, durationS);
 }
 
-void SimulatedCluster::cut_zone(const std::string& zone, double forS) {
-    extend(state_.zoneCutUntilS[zone], forS);
+void SimulatedCluster::isolate_zone(const std::string& zone, double durationS) {
+    extend(state_.zoneIsolatedUntilS[zone], durationS);
 }
 
-void SimulatedCluster::make_unreachable(double share, double forS) {
+void SimulatedCluster::make_workers_unreachable(double share, double durationS) {
     for (SimulatedWorker& worker : state_.workers)
-        if (random_.chance(share)) extend(worker.unreachableUntilS, forS);
+        if (random_.chance(share)) extend(worker.unreachableUntilS, durationS);
 }
 
-void SimulatedCluster::make_silent(double share, double forS) {
+void SimulatedCluster::drop_heartbeats(double share, double durationS) {
     for (SimulatedWorker& worker : state_.workers)
-        if (random_.chance(share)) extend(worker.silentUntilS, forS);
+        if (random_.chance(share)) extend(worker.heartbeatsLostUntilS, durationS);
 }
 
-void SimulatedCluster::hang_workers(double share, double forS) {
+void SimulatedCluster::hang_workers(double share, double durationS) {
     for (SimulatedWorker& worker : state_.workers)
-        if (random_.chance(share)) worker.hang(state_.nowS, forS);
+        if (random_.chance(share)) worker.hang(state_.nowS, durationS);
 }
 
-void SimulatedCluster::lose_machines(int count) {
+void SimulatedCluster::remove_machines(int count) {
     for (; count > 0; --count) state_.workers[random_.pick(state_.workers.size())].present = false;
 }
 
-void SimulatedCluster::cancel_running(int count, double hangS) {
+void SimulatedCluster::cancel_running_jobs(int count, double hangS) {
     std::set<std::string> running;
     for (const SimulatedWorker& worker : state_.workers)
         for (const auto& [key, task] : worker.tasks)
@@ -104,14 +104,14 @@
         if (count-- <= 0) break;
         // By way of another controller than the leader, if one takes it.
         for (std::size_t i = 0; i < controller_count(); ++i)
-            if (cancel(id, state_.controllers[(leader() + 1 + i) % controller_count()])) break;
+            if (cancel(id, state_.controllers[(leader_of_most_machines() + 1 + i) % controller_count()])) break;
         if (hangS <= 0) continue;
         for (SimulatedWorker& worker : state_.workers)
             if (worker.has_task_of(id)) worker.hang(state_.nowS, hangS);
     }
 }
 
-void SimulatedCluster::cancel_starting() {
+void SimulatedCluster::cancel_jobs_with_delayed_start() {
     for (const DelayedCommands& delayed : delayedCommands_)
         for (const wire::Command& command : delayed.sent.commands)
             if (command.type == wire::CommandType::start)
@@ -132,9 +132,9 @@
     const double untilS = state_.nowS + durationS;
     if (kind == kCrash)
         controller.crash(state_.nowS + (random_.chance(0.5) ? kBackInAMomentS : random_.between(2, 12)));
-    if (kind == kCutStore || kind == kCutStoreAndPeers) controller.storeCutUntilS = untilS;
-    if (kind == kCutPeers || kind == kCutStoreAndPeers) controller.peersCutUntilS = untilS;
-    if (kind == kCutWorkers) controller.workersCutUntilS = untilS;
+    if (kind == kCutStore || kind == kCutStoreAndPeers) controller.storeUnreachableUntilS = untilS;
+    if (kind == kCutPeers || kind == kCutStoreAndPeers) controller.peersUnreachableUntilS = untilS;
+    if (kind == kCutWorkers) controller.workersUnreachableUntilS = untilS;
 }
 
 void SimulatedCluster::inject_worker_fault(std::size_t kind, SimulatedWorker& worker, double durationS) {
@@ -143,27 +143,27 @@
     if (kind == kWorkerUnreachable || kind == kWorkerUnreachableToo)
         worker.unreachableUntilS = state_.nowS + random_.between(5, 70);
     if (kind == kWorkerHangs) worker.hang(state_.nowS, random_.between(2, 60));
-    if (kind == kWorkerSilent) worker.silentUntilS = state_.nowS + durationS;
+    if (kind == kWorkerSilent) worker.heartbeatsLostUntilS = state_.nowS + durationS;
 }
 
 void SimulatedCluster::inject_cluster_fault(std::size_t kind, double durationS) {
     if (kind == kAllCrash)
         for (SimulatedController& each : state_.controllers) each.crash(state_.nowS + random_.between(0.2, 9));
     if (kind == kOutage)
-        for (SimulatedController& each : state_.controllers) extend(each.storeCutUntilS, durationS);
-    if (kind == kCutZone) cut_zone(random_.chance(0.5) ? "a" : "b", durationS);
-    if (kind == kSlowStore) slow_store(durationS);
-    if (kind == kCancelRunning) cancel_running(2, random_.chance(0.5) ? durationS : 0);
+        for (SimulatedController& each : state_.controllers) extend(each.storeUnreachableUntilS, durationS);
+    if (kind == kCutZone) isolate_zone(random_.chance(0.5) ? "a" : "b", durationS);
+    if (kind == kSlowStore) slow_store_reads(durationS);
+    if (kind == kCancelRunning) cancel_running_jobs(2, random_.chance(0.5) ? durationS : 0);
 }
 
 // Processes are replaced one after the other; one that ends before its turn comes back as the old version.
 void SimulatedCluster::upgrade_controllers() {
     for (std::size_t i = 0; i < controller_count(); ++i) {
-        if (!at(kUpgradeBeginsS + kUpgradeEveryS * static_cast<double>(i))) continue;
-        state_.controllers[i].replaced = true;
+        if (!at(kUpgradeStartS + kUpgradeIntervalS * static_cast<double>(i))) continue;
+        state_.controllers[i].upgraded = true;
         crash(i, kReplacementS);
     }
-    if (at(kStateLimitsFallS)) state_.store.enforce_limits(kLoweredStateLimits);
+    if (at(kStateLimitsLoweredS)) state_.store.enforce_limits(kLoweredStateLimits);
 }
 
 // A member's lease ends when it is not renewed, but not in an outage, and has its full time again after that.
@@ -178,7 +178,7 @@
 
 // A worker without an answer for a whole lease ends its tasks and begins a new session.
 void SimulatedCluster::end_worker_lease(SimulatedWorker& worker) const {
-    if (state_.nowS - worker.leaseFromS >= kLeaseS) worker.start_session(state_.nowS);
+    if (state_.nowS - worker.leaseStartS >= kLeaseS) worker.start_session(state_.nowS);
 }
 
 }  // namespace wellstair::test
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 SimulatedCluster::SimulatedCluster(unsigned seed, const Scenario& scenario)
-    : random_(seed), network_(seed, scenario.slowMessages) {
+    : random_(seed), network_(seed, scenario.slowMessageShare) {
     state_.scenario = scenario;
     state_.write_unconditionally({{{"set", "ws/types"}, {"data", machine_types()}}});
     add_controllers();
@@ -35,30 +35,30 @@
     config::Settings settings = site_settings();
     settings.leaseS = kLeaseS;
     settings.cancelS = kCancelS;
-    settings.teams = {{"red", 16, kRedCores, 0, 0}, {"blue", 8, kBlueCores, 0, 0}};
+    settings.teams = {{"red", 16, kTeamRedMaxCores, 0, 0}, {"blue", 8, kTeamBlueMaxCores, 0, 0}};
     const std::vector<std::string> names = {"k-0", "k-1", "k-2"};
     for (const std::string& name : names) {
         SimulatedController& controller = state_.controllers.emplace_back();
         controller.settings = settings;
         controller.settings.member = name;
         controller.settings.location = zone_of(name);
-        controller.replaced = !state_.scenario.upgrade;
+        controller.upgraded = !state_.scenario.upgrade;
         for (const std::string& other : names)
             if (other != name) controller.settings.members.push_back({other, zone_of(other), {}});
     }
 }
 
 SimulatedWorker& SimulatedCluster::add_worker() {
-    ++machinesMade_;
+    ++machinesCreated_;
     // In an upgrade the machines of a zone are all of one shard, so that it has to be divided.
     char name[16];
-    std::snprintf(name, sizeof name, "n-%06d", state_.scenario.upgrade ? 6 * machinesMade_ : machinesMade_);
+    std::snprintf(name, sizeof name, "n-%06d", state_.scenario.upgrade ? 6 * machinesCreated_ : machinesCreated_);
     SimulatedWorker worker;
     worker.name = name;
-    worker.machineType = machinesMade_ % 4 == 0 ? "g8" : "c8";
-    worker.zone = machinesMade_ % 3 == 0 ? "b" : "a";
-    worker.spot = machinesMade_ % 5 == 0;
-    worker.leaseFromS = state_.nowS;
+    worker.machineType = machinesCreated_ % 4 == 0 ? "g8" : "c8";
+    worker.zone = machinesCreated_ % 3 == 0 ? "b" : "a";
+    worker.spot = machinesCreated_ % 5 == 0;
+    worker.leaseStartS = state_.nowS;
     worker.controller = random_.pick(state_.controllers.size());
     return state_.workers.emplace_back(worker);
 }
@@ -83,13 +83,13 @@
 }
 
 void SimulatedCluster::run() {
-    while (state_.nowS < kEndS && !testing::Test::HasFailure()) {
+    while (state_.nowS < kRunTimeoutS && !testing::Test::HasFailure()) {
         state_.nowS += kStepS;
         state_.store.set_time(state_.nowS);
         inject_faults_and_requests();
         run_step();
         invariants_.check_step();
-        if (state_.nowS <= kFaultsUntilS + kSettlingS) continue;
+        if (state_.nowS <= kFaultsEndS + kSettlingS) continue;
         if (!deliveries_pending() && state_.all_jobs_settled()) break;
     }
     invariants_.check_end();
@@ -101,22 +101,22 @@
         state_.scenario.onStep(*this, state_.nowS);
     else if (faults_active() && random_.chance(kRandomFault))
         inject_random_fault();
-    if (at(kFaultsUntilS)) add_workers_of_all_kinds();
-    const bool submissions = state_.nowS > kSubmissionsFromS && before_faults_end();
-    if (submissions && random_.chance(state_.scenario.submissions)) submit(++jobsSubmitted_);
-    if (faults_active() && random_.chance(kRandomCancel)) cancel_any();
-    if (random_.chance(kRandomQuery)) query_any();
+    if (at(kFaultsEndS)) add_workers_of_all_kinds();
+    const bool submissions = state_.nowS > kSubmissionsStartS && before_faults_end();
+    if (submissions && random_.chance(state_.scenario.submissionChance)) submit(++jobsSubmitted_);
+    if (faults_active() && random_.chance(kRandomCancel)) cancel_random_job();
+    if (random_.chance(kRandomQuery)) query_random_job();
     replace_lost_workers();
 }
 
 void SimulatedCluster::run_step() {
     end_member_leases();
     for (SimulatedWorker& worker : state_.workers) end_worker_lease(worker);
-    deliver_late();
+    deliver_delayed();
     network_.deliver_due(state_.nowS);
     // All plan on what they have read before any of them writes, as controllers do.
-    for (SimulatedController& controller : state_.controllers) plan(controller);
-    for (SimulatedController& controller : state_.controllers) act(controller);
+    for (SimulatedController& controller : state_.controllers) run_planning_phase(controller);
+    for (SimulatedController& controller : state_.controllers) run_commit_phase(controller);
     for (SimulatedWorker& worker : state_.workers)
         if (worker.present) run_worker(worker);
 }
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -39,35 +39,35 @@
     // --- the vocabulary of scenarios; durations are seconds from now
 
     // True in the one step that belongs to the time `atS`.
-    bool at(double atS) const { return state_.is_step_of(atS); }
+    bool at(double atS) const { return state_.step_contains(atS); }
     std::size_t controller_count() const { return state_.controllers.size(); }
     // The controller that leads most machines.
-    std::size_t leader();
-    // Ends a controller's process; it is back after `forS`.
-    void crash(std::size_t controller, double forS);
+    std::size_t leader_of_most_machines();
+    // Ends a controller's process; it is back after `durationS`.
+    void crash(std::size_t controller, double durationS);
     // The state service refuses this controller alone.
-    void cut_store(std::size_t controller, double forS);
-    void cut_peers(std::size_t controller, double forS);
+    void disconnect_store(std::size_t controller, double durationS);
+    void disconnect_peers(std::size_t controller, double durationS);
     // The state service refuses everybody, and ends no member lease.
-    void outage(double forS);
+    void store_outage(double durationS);
     // The state service answers, but its reads hang.
-    void slow_store(double forS);
+    void slow_store_reads(double durationS);
     // Nothing gets in or out of the zone, the state service included.
-    void cut_zone(const std::string& zone, double forS);
+    void isolate_zone(const std::string& zone, double durationS);
     // A share of the workers receives neither commands nor answers.
-    void make_unreachable(double share, double forS);
+    void make_workers_unreachable(double share, double durationS);
     // Heartbeats of a share of the workers are lost.
-    void make_silent(double share, double forS);
+    void drop_heartbeats(double share, double durationS);
     // A share of the workers hangs.
-    void hang_workers(double share, double forS);
+    void hang_workers(double share, double durationS);
     // Machines are gone for good.
-    void lose_machines(int count);
+    void remove_machines(int count);
     // Cancels up to `count` running jobs; their machines hang for `hangS`.
-    void cancel_running(int count, double hangS = 0);
+    void cancel_running_jobs(int count, double hangS = 0);
     // From now on a job is cancelled with this chance when its last task ends.
-    void cancel_at_end(double chance) { cancelAtEnd_ = chance; }
+    void set_cancel_at_completion_chance(double chance) { cancelAtCompletionChance_ = chance; }
     // Cancels the jobs of which a start had no reply and is still under way.
-    void cancel_starting();
+    void cancel_jobs_with_delayed_start();
 
   private:
     // Commands that a controller has sent to one worker.
@@ -92,7 +92,7 @@
         wire::Heartbeat heartbeat;
     };
     // The answer to a heartbeat.
-    struct HeartbeatAnswer {
+    struct HeartbeatReply {
         int status = 503;
         std::string leader;  // with 421: whom to ask
         std::uint64_t fencingToken = 0;
@@ -106,22 +106,22 @@
     void add_workers_of_all_kinds();
     void run_step();
     void inject_faults_and_requests();
-    bool faults_active() const { return state_.nowS > kFaultsFromS && state_.nowS < kFaultsUntilS; }
-    bool before_faults_end() const { return state_.nowS < kFaultsUntilS; }
+    bool faults_active() const { return state_.nowS > kFaultsStartS && state_.nowS < kFaultsEndS; }
+    bool before_faults_end() const { return state_.nowS < kFaultsEndS; }
 
     // Faults.
     void inject_random_fault();
     void inject_controller_fault(std::size_t kind, SimulatedController& controller, double durationS);
     void inject_worker_fault(std::size_t kind, SimulatedWorker& worker, double durationS);
     void inject_cluster_fault(std::size_t kind, double durationS);
-    void extend(double& untilS, double forS) const;
+    void extend(double& untilS, double durationS) const;
     void upgrade_controllers();
     void end_member_leases();
     void end_worker_lease(SimulatedWorker& worker) const;
 
     // Late deliveries.
     bool deliveries_pending() const;
-    void deliver_late();
+    void deliver_delayed();
     void apply_delayed_transactions();
     void execute_delayed_commands();
     void execute_delayed(DelayedCommands& delayed);
@@ -131,8 +131,8 @@
     wire::JobSpec random_job(int number, bool& service);
     void submit(int number);
     bool cancel(const std::string& id, SimulatedController& controller);
-    void cancel_any();
-    void query_any();
+    void cancel_random_job();
+    void query_random_job();
 
     // Controllers.
     bool commit(SimulatedController& controller, const state::TransactionBuilder& builder);
@@ -141,8 +141,8 @@
     void renew_member_lease(SimulatedController& controller);
     void exchange_peer_status(SimulatedController& controller);
     void update_availability(SimulatedController& controller);
-    void plan(SimulatedController& controller);
-    void act(SimulatedController& controller);
+    void run_planning_phase(SimulatedController& controller);
+    void run_commit_phase(SimulatedController& controller);
     void take_cloud_role(SimulatedController& controller);
     void scale_in(SimulatedController& controller);
 
@@ -151,14 +151,15 @@
     void send_commands(SimulatedController& controller, const std::string& host,
                        const std::vector<wire::Command>& commands);
     void receive_commands(const SentCommands& sent, double sentS);
-    void lose_commands(const SentCommands& sent, const SimulatedWorker* worker);
+    void drop_commands(const SentCommands& sent, const SimulatedWorker* worker);
     void reply_to_commands(const SentCommands& sent, double sentS, SimulatedWorker& worker);
-    HeartbeatAnswer answer(SimulatedController& controller, const wire::Heartbeat& heartbeat);
+    HeartbeatReply handle_heartbeat(SimulatedController& controller, const wire::Heartbeat& heartbeat);
     void send_heartbeat(SimulatedWorker& worker);
     void receive_heartbeat(const std::string& host, std::size_t controller, const wire::Heartbeat& heartbeat);
-    void receive_answer(const std::string& host, const wire::Heartbeat& heartbeat, const HeartbeatAnswer& answer);
+    void receive_heartbeat_reply(const std::string& host, const wire::Heartbeat& heartbeat,
+                                 const HeartbeatReply& answer);
     void send_due_heartbeat(SimulatedWorker& worker);
-    void try_next_controller(SimulatedWorker& worker, double inS) const;
+    void try_next_controller(SimulatedWorker& worker, double delayS) const;
 
     // Tasks.
     void execute(SimulatedWorker& worker, const std::vector<wire::Command>& commands);
@@ -173,13 +174,13 @@
     ClusterInvariants invariants_{state_};
     RandomSource random_;
     SimulatedNetwork network_;
-    double cancelAtEnd_ = 0.02;
+    double cancelAtCompletionChance_ = 0.02;
     double outageUntilS_ = 0;
     std::vector<DelayedTransaction> delayedTransactions_;
     std::vector<DelayedCommands> delayedCommands_;
     std::vector<HeartbeatCopy> heartbeatCopies_;
-    std::uint64_t incarnations_ = 0;  // processes started so far
-    int machinesMade_ = 0;
+    std::uint64_t lastIncarnation_ = 0;  // processes started so far
+    int machinesCreated_ = 0;
     int jobsSubmitted_ = 0;
 };
 
--- a/tests/simulation/simulated_controller.hpp
+++ b/tests/simulation/simulated_controller.hpp
@@ -16,16 +16,16 @@
 struct SimulatedController {
     config::Settings settings;
     bool runsOldVersion = false;  // the version in production: it knows neither divided shards nor announced limits
-    bool replaced = false;        // its turn in the upgrade has come: from then on it starts as the new version
+    bool upgraded = false;        // its turn in the upgrade has come: from then on it starts as the new version
 
     std::unique_ptr<controller::Core> core;  // null while the process does not run
     std::uint64_t incarnation = 0;           // of the last process
     double restartAtS = 0;
 
-    double storeCutUntilS = 0;    // the state service refuses it
-    double peersCutUntilS = 0;    // neither hears other controllers nor is heard
-    double workersCutUntilS = 0;  // no worker reaches it, and it reaches none
-    double slowReadsUntilS = 0;   // the state service answers, but its reads take seconds
+    double storeUnreachableUntilS = 0;    // the state service refuses it
+    double peersUnreachableUntilS = 0;    // neither hears other controllers nor is heard
+    double workersUnreachableUntilS = 0;  // no worker reaches it, and it reaches none
+    double slowReadsUntilS = 0;           // the state service answers, but its reads take seconds
 
     double lastStoreAnswerS = 0;
     double lastReadS = 0;
@@ -43,9 +43,9 @@
         return core->member_data().encode();
     }
     // Ends the process; it is back at `restartAtS`.
-    void crash(double until) {
+    void crash(double untilS) {
         core.reset();
-        restartAtS = until;
+        restartAtS = untilS;
     }
 };
 
--- a/tests/simulation/simulated_network.hpp
+++ b/tests/simulation/simulated_network.hpp
@@ -13,8 +13,8 @@
 
 class SimulatedNetwork {
   public:
-    // `slowMessages` is the share of messages that are delayed while the run has faults.
-    SimulatedNetwork(unsigned seed, double slowMessages) : random_(seed), slowMessages_(slowMessages) {}
+    // `slowMessageShare` is the share of messages that are delayed while the run has faults.
+    SimulatedNetwork(unsigned seed, double slowMessageShare) : random_(seed), slowMessageShare_(slowMessageShare) {}
 
     // How long the next message takes, in seconds; most arrive in the step in which they were sent.
     double next_delay(double nowS);
@@ -22,12 +22,12 @@
     void send(double nowS, double delayS, std::function<void()> arrival);
     // Runs what is due, in the order of arrival, with all that it sends without delay.
     void deliver_due(double nowS);
-    bool empty() const { return underWay_.empty(); }
+    bool empty() const { return inFlight_.empty(); }
 
   private:
     RandomSource random_;
-    double slowMessages_;
-    std::multimap<double, std::function<void()>> underWay_;  // by time of arrival
+    double slowMessageShare_;
+    std::multimap<double, std::function<void()>> inFlight_;  // by time of arrival
 };
 
 }  // namespace wellstair::test
--- a/tests/simulation/simulated_worker.cpp
+++ b/tests/simulation/simulated_worker.cpp
@@ -7,16 +7,16 @@
 void SimulatedWorker::start_session(double nowS) {
     tasks.clear();
     ++agentEpoch;
-    leaseFromS = nowS;
-    renewed = false;
+    leaseStartS = nowS;
+    leaseRenewed = false;
     awaitedHeartbeat = 0;
 }
 
-void SimulatedWorker::hang(double nowS, double forS) {
-    hungUntilS = std::max(hungUntilS, nowS + forS);
+void SimulatedWorker::hang(double nowS, double durationS) {
+    hungUntilS = std::max(hungUntilS, nowS + durationS);
     for (auto& [key, task] : tasks) {
-        task.endsAtS += forS;
-        task.gangCompleteAtS += forS;
+        task.endsAtS += durationS;
+        task.gangLastCompleteAtS += durationS;
     }
 }
 
--- a/tests/simulation/simulated_worker.hpp
+++ b/tests/simulation/simulated_worker.hpp
@@ -19,7 +19,7 @@
     wire::TaskPhase phase = wire::TaskPhase::running;
     wire::Cause cause = wire::Cause::none;
     double endsAtS = 0;
-    double gangCompleteAtS = 0;  // when all tasks of its gang were last running
+    double gangLastCompleteAtS = 0;  // when all tasks of its gang were last running
 
     bool ended() const { return phase == wire::TaskPhase::ended; }
     void end(wire::Cause why) {
@@ -37,23 +37,23 @@
     std::uint64_t sequence = 0;      // of the last heartbeat or command reply
     std::uint64_t fencingToken = 0;  // the highest that it has been given
 
-    double leaseFromS = 0;  // when the last answered heartbeat was sent, or the session began
+    double leaseStartS = 0;  // when the last answered heartbeat was sent, or the session began
     double nextHeartbeatS = 0;
     double lastHeartbeatS = -kHeartbeatTimeoutS;
-    bool renewed = false;                // some heartbeat of this session has been answered
+    bool leaseRenewed = false;           // some heartbeat of this session has been answered
     std::uint64_t awaitedHeartbeat = 0;  // sequence of the heartbeat that waits for its answer; 0: none
     std::size_t controller = 0;          // index of the controller that it sends heartbeats to
 
-    double unreachableUntilS = 0;  // receives neither commands nor answers
-    double silentUntilS = 0;       // its heartbeats are lost, commands reach it
-    double hungUntilS = 0;         // does nothing at all, and then goes on where it was
+    double unreachableUntilS = 0;     // receives neither commands nor answers
+    double heartbeatsLostUntilS = 0;  // its heartbeats are lost, commands reach it
+    double hungUntilS = 0;            // does nothing at all, and then goes on where it was
 
     std::map<workers::TaskKey, SimulatedTask> tasks;
 
     // Begins a new session without tasks, as after a restart or the end of the lease.
     void start_session(double nowS);
-    // Stops doing anything for `forS`; its tasks take longer by as much.
-    void hang(double nowS, double forS);
+    // Stops doing anything for `durationS`; its tasks take longer by as much.
+    void hang(double nowS, double durationS);
     // The next heartbeat or command reply, with a sequence number of its own.
     wire::Heartbeat next_heartbeat();
     // Brings the next heartbeat forward, as a change of a task does.
--- a/tests/upgrade_compatibility_test.cpp
+++ b/tests/upgrade_compatibility_test.cpp
@@ -18,7 +18,7 @@
 
 TEST(Upgrade, WritesTheSameBytesAsProductionBeforeTheSwitch) {
     config::Settings settings = site_settings();
-    settings.nextStateLimits = kNextLimits;
+    settings.nextStateLimits = kAnnouncedLimits;
     StoredStory story(settings, [](const controller::Core& core, const config::Settings&) {
         wire::Json data = core.member_data().encode();
         EXPECT_EQ(data["v"], state::kLayoutWithSplitShards);
@@ -52,7 +52,7 @@
     EXPECT_EQ(state.machine_types().size(), 2u);
     EXPECT_EQ(state.members().at("b").incarnation, 12u);
     EXPECT_EQ(state.members().at("b").layout, 0u);
-    EXPECT_EQ(machines_of(store).size(), 400u);
+    EXPECT_EQ(machines_in(store).size(), 400u);
     EXPECT_EQ(state.host("n-000400")->leader, "a");
     EXPECT_EQ(state.host("n-000400")->incarnation, 11u);
     EXPECT_EQ(state.host("n-000400")->fencingToken, 3u);
--- a/tests/upgrade_fixture.cpp
+++ b/tests/upgrade_fixture.cpp
@@ -9,14 +9,14 @@
 
 namespace wellstair::test {
 
-UpgradedController::UpgradedController(InMemoryStateStore& store, std::optional<config::StateLimits> next,
+UpgradedController::UpgradedController(InMemoryStateStore& store, std::optional<config::StateLimits> announcedLimits,
                                        std::uint64_t incarnation)
     : store_(store), settings_(site_settings()) {
     settings_.member = "a";
     settings_.location = "a";
     settings_.members = {{"b", "b", {}}};
     settings_.teams = {{"red", 16, 400, 0, 0}, {"blue", 8, 0, 0, 0}};
-    settings_.nextStateLimits = next;
+    settings_.nextStateLimits = announcedLimits;
     core_ = std::make_unique<controller::Core>(settings_, controller::Tunables{}, incarnation);
     sync();
     put("ws/members/a", core_->member_data().encode());
@@ -34,7 +34,7 @@
     sync();
 }
 
-void UpgradedController::other_is_new(std::uint64_t incarnation) {
+void UpgradedController::upgrade_peer(std::uint64_t incarnation) {
     put("ws/members/b", state::MemberData{incarnation, "b", state::kLayoutWithSplitShards}.encode());
 }
 
@@ -59,7 +59,7 @@
     return commit(core_->round(now()));
 }
 
-void UpgradedController::rounds(int count) {
+void UpgradedController::run_rounds(int count) {
     for (int i = 0; i < count; ++i) round();
 }
 
@@ -69,7 +69,7 @@
     return size;
 }
 
-std::map<std::string, state::HostEntry> machines_of(const InMemoryStateStore& store) {
+std::map<std::string, state::HostEntry> machines_in(const InMemoryStateStore& store) {
     std::map<std::string, state::HostEntry> machines;
     for (const auto& [key, value] : store.keys()) {
         if (!key.starts_with("ws/hosts/")) continue;
@@ -82,7 +82,7 @@
 
 state::HostShard* oversized_shard(state::StateCache& state) {
     for (const auto& [key, shard] : state.shards())
-        if (shard->size.bytes() > kNextLimits.value_bytes()) return shard.get();
+        if (shard->size.bytes() > kAnnouncedLimits.value_bytes()) return shard.get();
     return nullptr;
 }
 
--- a/tests/upgrade_fixture.hpp
+++ b/tests/upgrade_fixture.hpp
@@ -16,13 +16,14 @@
 namespace wellstair::test {
 
 // The announced limits: some shards of production are too large for them.
-constexpr config::StateLimits kNextLimits{2, 15, 5};
+constexpr config::StateLimits kAnnouncedLimits{2, 15, 5};
 
 // Controller `a` of two. Time passes by a quarter of a second a round.
 class UpgradedController {
   public:
     // A new process that has registered and serves; `next` are the limits announced in its settings.
-    explicit UpgradedController(InMemoryStateStore& store, std::optional<config::StateLimits> next = kNextLimits,
+    explicit UpgradedController(InMemoryStateStore& store,
+                                std::optional<config::StateLimits> announcedLimits = kAnnouncedLimits,
                                 std::uint64_t incarnation = 21);
 
     controller::Core& core() { return *core_; }
@@ -32,7 +33,7 @@
     // Another process's write, to which no limits apply, read here at once.
     void put(const std::string& path, const wire::Json& data);
     // The other controller, `b`, runs the present version from now on.
-    void other_is_new(std::uint64_t incarnation = 22);
+    void upgrade_peer(std::uint64_t incarnation = 22);
     // Reads all changes.
     void sync();
     // As the service does: a refusal for size is told to the core, anything else is read back and tried again. Returns
@@ -40,7 +41,7 @@
     std::string commit(const state::TransactionBuilder& builder);
     // One round of planning, and its commit.
     std::string round();
-    void rounds(int count);
+    void run_rounds(int count);
     // Size of the largest value in the state service, in bytes.
     std::size_t largest_value() const;
 
@@ -52,8 +53,8 @@
 };
 
 // Every machine with its leader, fencing token, address and mark; expects that it is in exactly one shard.
-std::map<std::string, state::HostEntry> machines_of(const InMemoryStateStore& store);
-// Some shard whose value is larger than kNextLimits allow, or null.
+std::map<std::string, state::HostEntry> machines_in(const InMemoryStateStore& store);
+// Some shard whose value is larger than kAnnouncedLimits allow, or null.
 state::HostShard* oversized_shard(state::StateCache& state);
 // The number of tasks that are placed.
 std::size_t placed_tasks(state::StateCache& state);
--- a/tests/upgrade_switch_test.cpp
+++ b/tests/upgrade_switch_test.cpp
@@ -13,14 +13,14 @@
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
-    a.rounds(20);
+    a.run_rounds(20);
     EXPECT_EQ(a.state().layout_revision(), 0u) << "b still runs production";
-    EXPECT_GT(a.largest_value(), kNextLimits.value_bytes()) << "no shard is split before the switch";
-    a.other_is_new();
-    a.rounds(1);
+    EXPECT_GT(a.largest_value(), kAnnouncedLimits.value_bytes()) << "no shard is split before the switch";
+    a.upgrade_peer();
+    a.run_rounds(1);
     EXPECT_EQ(a.state().layout().version, state::kLayoutWithSplitShards);
-    a.rounds(60);
-    EXPECT_LE(a.largest_value(), kNextLimits.value_bytes());
+    a.run_rounds(60);
+    EXPECT_LE(a.largest_value(), kAnnouncedLimits.value_bytes());
 }
 
 // Without state.next nothing changes, whoever runs.
@@ -28,10 +28,10 @@
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store, std::nullopt);
-    a.other_is_new();
-    a.rounds(40);
+    a.upgrade_peer();
+    a.run_rounds(40);
     EXPECT_EQ(a.state().layout_revision(), 0u);
-    EXPECT_GT(a.largest_value(), kNextLimits.value_bytes());
+    EXPECT_GT(a.largest_value(), kAnnouncedLimits.value_bytes());
     EXPECT_EQ(a.core().state_limits(), (config::StateLimits{8, 50, 16}));
 }
 
@@ -41,7 +41,7 @@
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
-    a.other_is_new();
+    a.upgrade_peer();
     wire::Json decided = a.core().round(a.now()).build().body;
     ASSERT_EQ(decided["apply"][0]["set"], "ws/layout");
     a.put("ws/members/b", state::MemberData{23, "b", 0}.encode());
@@ -53,8 +53,8 @@
     late["when"] = {{{"path", "ws/members/b"}, {"stamp", store.revision_of("ws/members/b")}},
                     {{"path", "ws/hosts/a/1"}, {"stamp", shard}}};
     late["apply"] = {{{"set", "ws/hosts/a/1"}, {"data", store.keys().at("ws/hosts/a/1").first}}};
-    a.other_is_new(24);
-    a.rounds(3);
+    a.upgrade_peer(24);
+    a.run_rounds(3);
     ASSERT_EQ(a.state().layout().version, state::kLayoutWithSplitShards);
     EXPECT_TRUE(store.commit(late).starts_with("conflict ws/members/b"));
 }
@@ -67,25 +67,25 @@
     load_production_state(store);
     {
         UpgradedController before(store);
-        before.other_is_new();
-        before.rounds(80);
+        before.upgrade_peer();
+        before.run_rounds(80);
     }
-    const std::size_t machines = machines_of(store).size();
+    const std::size_t machines = machines_in(store).size();
     for (bool fallen : {false, true}) {
-        if (fallen) store.enforce_limits(kNextLimits);
+        if (fallen) store.enforce_limits(kAnnouncedLimits);
         UpgradedController old(store, std::nullopt, fallen ? 61 : 60);
         old.put("ws/members/a", state::MemberData{fallen ? 61u : 60u, "a", 0}.encode());
-        old.rounds(80);
-        EXPECT_EQ(machines_of(store).size(), machines);
-        for (const auto& [name, host] : machines_of(store)) {
+        old.run_rounds(80);
+        EXPECT_EQ(machines_in(store).size(), machines);
+        for (const auto& [name, host] : machines_in(store)) {
             EXPECT_EQ(old.state().host(name)->leader, host.leader) << name;
         }
         EXPECT_TRUE(store.revision_of("ws/layout")) << "the switch stays";
     }
-    UpgradedController next(store, kNextLimits, 62);
-    next.rounds(80);
-    EXPECT_LE(next.largest_value(), kNextLimits.value_bytes());
-    for (const auto& [name, host] : machines_of(store))
+    UpgradedController next(store, kAnnouncedLimits, 62);
+    next.run_rounds(80);
+    EXPECT_LE(next.largest_value(), kAnnouncedLimits.value_bytes());
+    for (const auto& [name, host] : machines_in(store))
         if (host.returnState != state::ReturnState::gone) {
             EXPECT_EQ(host.incarnation, 62u) << name;
         }
