--- a/tests/simulation/cluster_controllers.cpp
+++ b/tests/simulation/cluster_controllers.cpp
@@ -1,5 +1,5 @@
-// What the controllers of a simulated run do in a step, as the service does: renew the member lease, read the state,
-// exchange status with peers, plan a round, and commit it.
+// The work of the controllers in a step of a simulated run, in the order of the service: renew the member lease, read
+// the state, exchange status with peers, plan a round, and commit it.
 #include <algorithm>
 #include <utility>
 
@@ -10,9 +10,10 @@
 
 namespace {
 
-constexpr std::uint64_t kReadRequestsPerProcess = 1'000'000;  // request numbers of processes do not overlap
-constexpr double kPeerPacketLost = 0.1;                       // share of exchanges with a peer that are lost
-constexpr double kSlowReadSucceeds = 0.1;                     // share of reads that succeed while reads are slow
+constexpr std::uint64_t kReadRequestsPerProcess = 1'000'000;  // so that request numbers of processes are distinct
+constexpr double kLostPeerExchangeShare = 0.1;                // status exchanges with a peer that are lost
+constexpr double kSlowReadSuccessShare = 0.1;                 // reads that complete while reads are slow
+constexpr double kLateTransactionShare = 0.7;                 // transactions without a reply that are applied later
 
 }  // namespace
 
@@ -23,10 +24,10 @@
 bool SimulatedCluster::commit(SimulatedController& controller, const wire::Json& body) {
     if (!state_.has_store(controller)) return false;
     if (random_.chance(state_.scenario.lostTransactionReplyShare) && before_faults_end()) {
-        // No reply: it is applied later, or never.
-        if (random_.chance(0.7)) {
-            const double longestS = random_.chance(0.5) ? 12 : 60;
-            delayedTransactions_.push_back({state_.nowS + random_.between(0.5, longestS), body});
+        // No reply: the transaction is applied late or never.
+        if (random_.chance(kLateTransactionShare)) {
+            const double maxDelayS = random_.chance(0.5) ? 12 : 60;
+            delayedTransactions_.push_back({state_.nowS + random_.between(0.5, maxDelayS), body});
         }
         return false;
     }
@@ -56,7 +57,7 @@
 
 void SimulatedCluster::renew_member_lease(SimulatedController& controller) {
     controller.lastStoreAnswerS = state_.nowS;
-    if (state_.nowS >= controller.slowReadsUntilS || random_.chance(kSlowReadSucceeds)) state_.sync(controller);
+    if (state_.nowS >= controller.slowReadsUntilS || random_.chance(kSlowReadSuccessShare)) state_.sync(controller);
     if (!controller.core->member_revision() || state_.nowS > controller.memberLeaseUntilS) {
         state_.write_unconditionally({{{"set", controller.member_key()}, {"data", controller.member_data()}}});
         state_.sync(controller);
@@ -70,7 +71,7 @@
         if (&peer == &controller || !peer.core) continue;
         if (state_.nowS < std::max(peer.peersUnreachableUntilS, controller.peersUnreachableUntilS)) continue;
         if (state_.partitioned(controller.settings.location, peer.settings.location)) continue;
-        if (random_.chance(kPeerPacketLost)) continue;
+        if (random_.chance(kLostPeerExchangeShare)) continue;
         controller.core->record_cancellations(peer.core->cancellations());
         controller.readBarrier.acknowledge(peer.settings.member, peer.incarnation, requestNumber);
         const double storeContactAgeS = state_.nowS - peer.lastStoreAnswerS;
@@ -124,7 +125,7 @@
     commit(controller, builder);
 }
 
-// The cloud takes machines back at once, and its answer always arrives.
+// Returns machines to the cloud, which takes them back immediately and always replies.
 void SimulatedCluster::scale_in(SimulatedController& controller) {
     auto due = controller.core->scale_in_due(state_.timestamp());
     if (due.empty()) return;
--- a/tests/simulation/cluster_invariants.hpp
+++ b/tests/simulation/cluster_invariants.hpp
@@ -1,8 +1,9 @@
-// Every rule that a simulated run is checked against, each as GTest expectations: no task runs twice, teams stay within
-// their quota, tasks are placed where their job allows, cancelled jobs stop in time, no lease is counted as ended
-// before the worker's own count, final phases stand, and no job waits beside a machine with room.
+// The invariants of a simulated run, checked as GTest expectations: no task runs twice at a time, teams stay within
+// their quota, tasks run where the constraints of their job allow, cancelled jobs stop in time, no controller considers
+// a lease expired before the worker does, final phases do not change, and no job waits while machines have capacity for
+// it.
 //
-// Owns nothing but a reference to the state of the run. Single-threaded test support.
+// Refers to the state of the run and owns nothing. Single-threaded test support.
 #pragma once
 
 #include <map>
@@ -16,13 +17,13 @@
   public:
     explicit ClusterInvariants(ClusterState& cluster) : cluster_(cluster) {}
 
-    // Checked when a worker is about to start a task.
+    // Called before a worker starts a task.
     void check_start(const SimulatedWorker& worker, const workers::TaskKey& task) const;
-    // Checked at the end of every step.
+    // Called at the end of every step.
     void check_step();
-    // Checked when a user asks about an accepted job, or repeats its submission.
+    // Called when a user requests the status of an accepted job or repeats its submission: the controller must know it.
     void check_accepted_job(SimulatedController& controller, const std::string& id, const SubmittedJob& job) const;
-    // Checked when the run is over: every accepted job has ended or serves, at every controller.
+    // Called at the end of the run: at every controller each accepted job must have ended or, as a service, run.
     void check_end();
 
   private:
@@ -40,9 +41,9 @@
     void check_final_phase(SimulatedController& controller, const std::string& id, const SubmittedJob& job) const;
     void check_run_coverage() const;
 
-    // Cores of the machine that tasks use, or that are placed on it and not there yet.
+    // Cores of the machine in use, or reserved by placements, whichever is more.
     double allocated_cores(const SimulatedWorker& worker, state::StateCache& state) const;
-    // Whether the job waits although some zone has room and its team may use it.
+    // Whether the job waits although a zone has capacity for it within the quota of its team.
     bool waits_despite_capacity(const std::string& id, const SubmittedJob& job, const CoresByTeam& used,
                                 state::StateCache& state) const;
 
--- a/tests/simulation/cluster_messages.cpp
+++ b/tests/simulation/cluster_messages.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr double kCommandTimeoutShare = 0.6;  // of heartbeatIntervalS; a controller waits no longer for a reply
-constexpr double kRedirectS = 0.25;           // after 421, until the heartbeat to the leader
-constexpr double kConfirmTokenS = 0.5;        // after a new token, until the heartbeat that confirms it
-constexpr double kRetryS = 1;                 // after a failure, until the heartbeat to the next controller
+constexpr double kCommandTimeoutShare = 0.6;  // of heartbeatIntervalS, after which a controller gives up on a reply
+constexpr double kRedirectDelayS = 0.25;      // from a 421 response to the heartbeat to the leader
+constexpr double kConfirmTokenDelayS = 0.5;   // from a new fencing token to the heartbeat that confirms it
+constexpr double kRetryDelayS = 1;            // from a failure to the heartbeat to the next controller
 
 }  // namespace
 
@@ -37,9 +37,9 @@
 
 void SimulatedCluster::receive_commands(const SentCommands& sent, double sentS) {
     SimulatedWorker* worker = state_.find_worker(sent.host);
-    const bool reaches = worker && state_.can_reach(state_.controllers[sent.controller], *worker) &&
-                         state_.nowS >= worker->unreachableUntilS;
-    if (!reaches || (random_.chance(state_.scenario.lostCommandReplyShare) && before_faults_end())) {
+    const bool reachable = worker && state_.can_reach(state_.controllers[sent.controller], *worker) &&
+                           state_.nowS >= worker->unreachableUntilS;
+    if (!reachable || (random_.chance(state_.scenario.lostCommandReplyShare) && before_faults_end())) {
         drop_commands(sent, worker);
         return;
     }
@@ -51,10 +51,10 @@
     reply_to_commands(sent, sentS, *worker);
 }
 
-// Commands that are lost on the way may still arrive, a minute and a half later at most.
+// Lost commands may still be executed up to 90 s later; the controller only sees a failure.
 void SimulatedCluster::drop_commands(const SentCommands& sent, const SimulatedWorker* worker) {
-    const bool hangs = worker && state_.nowS < worker->hungUntilS;
-    if (hangs || random_.chance(0.5)) delayedCommands_.push_back({state_.nowS + random_.between(0.5, 90), sent});
+    const bool hung = worker && state_.nowS < worker->hungUntilS;
+    if (hung || random_.chance(0.5)) delayedCommands_.push_back({state_.nowS + random_.between(0.5, 90), sent});
     if (controller::Core* core = state_.process(sent.controller, sent.incarnation))
         core->on_commands_answered(sent.host, sent.commands, false, sent.fencingToken);
 }
@@ -63,8 +63,8 @@
     const double timeoutS = kCommandTimeoutShare * state_.controllers[sent.controller].settings.heartbeatIntervalS;
     const double delayS = network_.next_delay(state_.nowS);
     const bool inTime = state_.nowS + delayS - sentS <= timeoutS;
-    const double handledInS = inTime ? delayS : std::max(0.0, sentS + timeoutS - state_.nowS);
-    network_.send(state_.nowS, handledInS, [this, sent, inTime, reply = worker.next_heartbeat()] {
+    const double waitS = inTime ? delayS : std::max(0.0, sentS + timeoutS - state_.nowS);
+    network_.send(state_.nowS, waitS, [this, sent, inTime, reply = worker.next_heartbeat()] {
         controller::Core* core = state_.process(sent.controller, sent.incarnation);
         if (!core) return;
         if (inTime) core->handle_command_reply(reply, state_.timestamp());
@@ -85,7 +85,7 @@
 
 void SimulatedCluster::send_due_heartbeat(SimulatedWorker& worker) {
     if (worker.awaitedHeartbeat && state_.nowS >= worker.lastHeartbeatS + kHeartbeatTimeoutS)
-        try_next_controller(worker, kRetryS);
+        try_next_controller(worker, kRetryDelayS);
     if (worker.awaitedHeartbeat || state_.nowS < worker.nextHeartbeatS) return;
     worker.nextHeartbeatS = state_.nowS + random_.between(2.25, 3.75);
     send_heartbeat(worker);
@@ -110,9 +110,10 @@
                   });
 }
 
-void SimulatedCluster::receive_heartbeat(const std::string& host, std::size_t index, const wire::Heartbeat& heartbeat) {
+void SimulatedCluster::receive_heartbeat(const std::string& host, std::size_t controllerIndex,
+                                         const wire::Heartbeat& heartbeat) {
     const SimulatedWorker* worker = state_.find_worker(host);
-    SimulatedController& controller = state_.controllers[index];
+    SimulatedController& controller = state_.controllers[controllerIndex];
     if (!worker || !controller.core || !state_.can_reach(controller, *worker)) return;
     update_availability(controller);
     HeartbeatReply reply = handle_heartbeat(controller, heartbeat);
@@ -120,26 +121,26 @@
                   [this, host, heartbeat, reply] { receive_heartbeat_reply(host, heartbeat, reply); });
 }
 
-// An answer that comes too late, or to a heartbeat of an earlier session, is dropped.
+// Drops a response that arrives after the timeout, or belongs to an earlier session or heartbeat.
 void SimulatedCluster::receive_heartbeat_reply(const std::string& host, const wire::Heartbeat& heartbeat,
-                                               const HeartbeatReply& answer) {
+                                               const HeartbeatReply& reply) {
     SimulatedWorker* worker = state_.find_worker(host);
     if (!worker || state_.nowS < worker->unreachableUntilS || state_.nowS < worker->hungUntilS) return;
     if (worker->agentEpoch != heartbeat.agentEpoch || worker->awaitedHeartbeat != heartbeat.sequence) return;
     if (state_.nowS >= worker->lastHeartbeatS + kHeartbeatTimeoutS) return;
     worker->awaitedHeartbeat = 0;
-    if (answer.status == 503) {
-        try_next_controller(*worker, kRetryS);
-    } else if (answer.status == 421) {
+    if (reply.status == 503) {
+        try_next_controller(*worker, kRetryDelayS);
+    } else if (reply.status == 421) {
         for (std::size_t i = 0; i < controller_count(); ++i)
-            if (state_.controllers[i].settings.member == answer.leader) worker->controller = i;
-        worker->nextHeartbeatS = state_.nowS + kRedirectS;
-    } else if (answer.fencingToken >= worker->fencingToken) {
-        if (answer.fencingToken > worker->fencingToken) worker->nextHeartbeatS = state_.nowS + kConfirmTokenS;
-        worker->fencingToken = answer.fencingToken;
+            if (state_.controllers[i].settings.member == reply.leader) worker->controller = i;
+        worker->nextHeartbeatS = state_.nowS + kRedirectDelayS;
+    } else if (reply.fencingToken >= worker->fencingToken) {
+        if (reply.fencingToken > worker->fencingToken) worker->nextHeartbeatS = state_.nowS + kConfirmTokenDelayS;
+        worker->fencingToken = reply.fencingToken;
         worker->leaseStartS = worker->lastHeartbeatS;
         worker->leaseRenewed = true;
-        execute(*worker, answer.commands);
+        execute(*worker, reply.commands);
     }
 }
 
--- a/tests/simulation/cluster_state.cpp
+++ b/tests/simulation/cluster_state.cpp
@@ -76,9 +76,9 @@
 bool ClusterState::all_jobs_settled() const {
     return std::all_of(jobs.begin(), jobs.end(), [&](const auto& entry) {
         const SubmittedJob& job = entry.second;
-        const bool serves =
+        const bool serviceRuns =
             job.spec.service() && !job.cancelRequested && running_tasks(entry.first) == job.spec.taskCount;
-        return !job.accepted || !job.finalPhase.empty() || serves;
+        return !job.accepted || !job.finalPhase.empty() || serviceRuns;
     });
 }
 
--- a/tests/simulation/cluster_state.hpp
+++ b/tests/simulation/cluster_state.hpp
@@ -1,5 +1,5 @@
-// The state of a simulated run: controllers, workers, jobs and the state service, and who can reach whom. The run
-// (SimulatedCluster), the checks (ClusterInvariants) and the failure report work on it.
+// The state of a simulated run: controllers, workers, jobs, the state service and the connectivity between them. It is
+// shared by the simulation (SimulatedCluster), the checks (ClusterInvariants) and the failure report.
 //
 // Owns all of these. Single-threaded test support; all times are seconds of the simulated clock.
 #pragma once
@@ -16,60 +16,64 @@
 
 namespace wellstair::test {
 
-// A job as its user knows it.
+// A job in the view of its user.
 struct SubmittedJob {
     wire::JobSpec spec;
     bool accepted = false;
-    bool cancelRequested = false;        // the answer may have been lost
-    double cancelConfirmedS = -1;        // when the user was first told that it is cancelled; -1: never
-    double waitingDespiteCapacityS = 0;  // after the faults: for how long a machine has had room for it
-    std::set<std::uint32_t> completed;   // tasks that have ended with success
-    std::string finalPhase;              // the first final phase that a controller told
+    bool cancelRequested = false;        // whether or not a reply arrived
+    double cancelConfirmedS = -1;        // when the user first learned of the cancellation; -1: never
+    double waitingDespiteCapacityS = 0;  // after the faults: how long it has waited despite free capacity
+    std::set<std::uint32_t> completed;   // tasks that have succeeded
+    std::string finalPhase;              // the first final phase that a controller reported
 
-    // Whether it may not run any more: the user was told of its cancellation more than kCancelS ago.
+    // Whether no task may run any more: the user learned of the cancellation more than kCancelS ago.
     bool cancelOverdue(double nowS) const { return cancelConfirmedS >= 0 && nowS > cancelConfirmedS + kCancelS; }
-    // Whether all of its tasks have ended with success.
+    // Whether all of its tasks have succeeded.
     bool complete() const { return completed.size() == spec.taskCount; }
 };
 
+// The simulated cluster at one moment.
 struct ClusterState {
-    Scenario scenario{"mix"};
+    Scenario scenario{"random_faults"};
     double nowS = 0;
     InMemoryStateStore store;
     std::deque<SimulatedController> controllers;
     std::deque<SimulatedWorker> workers;
     std::map<std::string, SubmittedJob> jobs;
     std::map<std::string, double> zoneIsolatedUntilS;
-    int startedTasks = 0;      // tasks started
-    int acceptedServices = 0;  // services accepted
+    int startedTasks = 0;      // number of tasks started
+    int acceptedServices = 0;  // number of services accepted
 
-    // The simulated clock as a controller sees it.
+    // The simulated time as the monotonic and wall-clock times of a controller.
     controller::Timestamp timestamp() const { return {nowS, 1'000'000 + nowS}; }
-    // Whether the step that begins now is the one of the time `atS`.
+    // Whether `atS` falls into the present step.
     bool step_contains(double atS) const { return nowS >= atS && nowS < atS + kStepS; }
 
+    // Whether the zone is disconnected from other zones and from the state service.
     bool zone_isolated(const std::string& zone) const;
-    // Whether nothing gets from a process in one zone to one in another. The state service belongs to no zone.
+    // Whether the network between the two zones is partitioned. The state service belongs to no zone.
     bool partitioned(const std::string& zone, const std::string& other) const;
+    // Whether the controller is connected to the state service.
     bool has_store(const SimulatedController& controller) const;
-    // Whether the state service answers the controller and its process serves users.
+    // Whether the controller handles requests of users: it serves and is connected to the state service.
     bool accepts_requests(const SimulatedController& controller) const;
+    // Whether messages between the controller and the worker arrive.
     bool can_reach(const SimulatedController& controller, const SimulatedWorker& worker) const;
 
-    // The present machine of that name, or null.
+    // The worker of that name whose machine is present, or null.
     SimulatedWorker* find_worker(const std::string& name);
     std::size_t index_of(const SimulatedController& controller) const;
-    // The process that sent a request, if it still runs, or null.
+    // The process of that incarnation, or null if it no longer runs.
     controller::Core* process(std::size_t controller, std::uint64_t incarnation);
 
-    // Brings the controller's cache of the state up to date, if the state service answers it.
+    // Applies all changes to the controller's cache, if it is connected to the state service.
     void sync(SimulatedController& controller);
-    // Applies operations that come from no controller under test, without preconditions.
+    // Commits operations without preconditions, for writers other than the code under test.
     void write_unconditionally(wire::Json operations);
 
-    // How many tasks of a job run.
+    // The number of running tasks of the job.
     std::uint32_t running_tasks(const std::string& job) const;
-    // Whether every accepted job has ended, or, as a service, runs all of its replicas.
+    // Whether every accepted job has ended or, as a service, runs all of its replicas.
     bool all_jobs_settled() const;
 };
 
--- a/tests/simulation/cluster_tasks.cpp
+++ b/tests/simulation/cluster_tasks.cpp
@@ -1,13 +1,13 @@
-// The tasks on the workers of a simulated run: how they start, run, end, and are stopped.
+// Execution of commands and tasks on the workers of a simulated run.
 #include "simulation/simulated_cluster.hpp"
 
 namespace wellstair::test {
 
 namespace {
 
-constexpr double kRepeatedTaskS = 0.5;      // a task whose result is already kept
-constexpr double kReplicaFails = 0.3;       // share of replicas that fail, or end of themselves, during the faults
-constexpr double kReplicaErrorShare = 0.5;  // of these, with an error
+constexpr double kRepeatedTaskS = 0.5;      // duration of a task whose result is already stored
+constexpr double kReplicaExitShare = 0.3;   // replicas of a service that exit during the faults
+constexpr double kReplicaErrorShare = 0.5;  // of these, replicas that exit with an error
 
 }  // namespace
 
@@ -38,10 +38,10 @@
 }
 
 double SimulatedCluster::random_duration_s(const SubmittedJob& job, std::uint32_t index) {
-    const bool resultKept = job.completed.count(index) > 0;
-    const double durationS = resultKept ? kRepeatedTaskS : job.spec.estimatedDurationS * random_.between(0.5, 1.5);
+    const bool resultStored = job.completed.count(index) > 0;
+    const double durationS = resultStored ? kRepeatedTaskS : job.spec.estimatedDurationS * random_.between(0.5, 1.5);
     if (!job.spec.service()) return durationS;
-    return before_faults_end() && random_.chance(kReplicaFails) ? random_.between(5, 60) : kRunTimeoutS;
+    return before_faults_end() && random_.chance(kReplicaExitShare) ? random_.between(5, 60) : kRunTimeoutS;
 }
 
 void SimulatedCluster::run_worker(SimulatedWorker& worker) {
@@ -62,19 +62,19 @@
         task.end(random_.chance(kReplicaErrorShare) ? wire::Cause::error : wire::Cause::done);
         return;
     }
-    // A gang completes together, and exits when one of its tasks has been gone for a while.
-    std::vector<SimulatedTask*> together = {&task};
-    if (spec.kind == wire::JobKind::gang) together = running_gang(key, task);
-    const bool gangComplete = spec.kind != wire::JobKind::gang || together.size() == spec.taskCount;
+    // The tasks of a gang succeed together, and exit when one of them has been missing for kGangPeerTimeoutS.
+    std::vector<SimulatedTask*> runningTasks = {&task};
+    if (spec.kind == wire::JobKind::gang) runningTasks = running_gang(key, task);
+    const bool gangComplete = spec.kind != wire::JobKind::gang || runningTasks.size() == spec.taskCount;
     if (gangComplete) task.gangLastCompleteAtS = state_.nowS;
     if (gangComplete && due) {
-        complete(key, together);
+        complete(key, runningTasks);
     } else if (!gangComplete && state_.nowS - task.gangLastCompleteAtS > kGangPeerTimeoutS) {
         task.end(wire::Cause::gang_peer_lost);
     }
 }
 
-// The task and all others of its attempt that run on a machine that does not hang.
+// The task and the other running tasks of its attempt, without those on hung machines.
 std::vector<SimulatedTask*> SimulatedCluster::running_gang(const workers::TaskKey& key, SimulatedTask& task) {
     std::vector<SimulatedTask*> gang = {&task};
     for (SimulatedWorker& worker : state_.workers) {
@@ -94,7 +94,7 @@
         for (std::uint32_t i = 0; i < job.spec.taskCount; ++i) job.completed.insert(i);
     else
         job.completed.insert(key.second);
-    // A user cancels it at the very moment at which its last task ends.
+    // A user may cancel the job in the step in which its last task succeeds.
     if (job.complete() && random_.chance(cancelAtCompletionChance_))
         cancel(key.first, state_.controllers[random_.pick(controller_count())]);
 }
--- a/tests/simulation/cluster_users.cpp
+++ b/tests/simulation/cluster_users.cpp
@@ -1,4 +1,4 @@
-// The users of a simulated run: they submit jobs, cancel them, and ask about them, by way of any controller.
+// The users of a simulated run, who submit jobs, cancel them and request their status at any controller.
 #include <algorithm>
 #include <iterator>
 
@@ -6,7 +6,7 @@
 
 namespace wellstair::test {
 
-// Some jobs run for longer than kCancelS: they would go on after a cancellation that nobody carries out.
+// Some jobs run for longer than kCancelS, so that a cancellation that is not carried out is noticed.
 wire::JobSpec SimulatedCluster::random_job(int number, bool& service) {
     wire::JobSpec spec;
     spec.id = "j-" + std::to_string(number);
@@ -20,11 +20,12 @@
     spec.spotAllowed = random_.chance(0.6);
     const bool gang = random_.chance(0.3);
     spec.kind = gang ? wire::JobKind::gang : wire::JobKind::batch;
-    // Nothing new is asked for before all controllers have the new version.
-    const bool allNew = std::none_of(state_.controllers.begin(), state_.controllers.end(),
-                                     [](const SimulatedController& each) { return each.runsOldVersion; });
-    const bool mayServe = allNew && !gang && state_.nowS > kServicesStartS && state_.acceptedServices < kMaxServices;
-    service = mayServe && random_.chance(0.3);
+    // Services are a new feature: none is submitted before all controllers run the new version.
+    const bool allUpgraded = std::none_of(state_.controllers.begin(), state_.controllers.end(),
+                                          [](const SimulatedController& each) { return each.runsOldVersion; });
+    const bool mayBeService =
+        allUpgraded && !gang && state_.nowS > kServicesStartS && state_.acceptedServices < kMaxServices;
+    service = mayBeService && random_.chance(0.3);
     if (service) spec.kind = wire::JobKind::service;
     spec.taskCount = gang ? 2 : 1 + static_cast<std::uint32_t>(random_.pick(3));
     spec.coLocated = gang || random_.chance(0.2);
@@ -52,7 +53,7 @@
     bool unsure = false;
     if (controller.core->infeasibility_reason(spec, unsure)) return;
     state_.sync(controller);
-    SubmittedJob& job = state_.jobs[spec.id];  // without an answer it may still be submitted later
+    SubmittedJob& job = state_.jobs[spec.id];  // recorded first: without a reply it may still be submitted later
     job.spec = spec;
     auto builder = controller.core->new_transaction();
     builder.submit(spec, controller.settings.member, static_cast<std::int64_t>(state_.timestamp().wall));
@@ -82,7 +83,7 @@
     cancel(it->first, state_.controllers[random_.pick(controller_count())]);
 }
 
-// A user asks about a job or repeats its submission, by way of whichever controller the balancer gives it.
+// A user requests the status of a job or repeats its submission at a random controller, as behind a load balancer.
 void SimulatedCluster::query_random_job() {
     if (state_.jobs.empty()) return;
     auto it = state_.jobs.begin();
--- a/tests/simulation/delayed_deliveries.cpp
+++ b/tests/simulation/delayed_deliveries.cpp
@@ -1,4 +1,4 @@
-// Transactions, commands and heartbeats of a simulated run that arrive late.
+// Delivery of the delayed transactions, commands and copies of heartbeats of a simulated run.
 #include "simulation/simulated_cluster.hpp"
 
 namespace wellstair::test {
@@ -34,7 +34,7 @@
     }
 }
 
-// Commands that reach a machine that hangs wait there until it goes on.
+// Commands that arrive at a hung machine are executed when it continues.
 void SimulatedCluster::execute_delayed(DelayedCommands& delayed) {
     const SentCommands& sent = delayed.sent;
     for (SimulatedWorker& worker : state_.workers) {
--- a/tests/simulation/failure_report.cpp
+++ b/tests/simulation/failure_report.cpp
@@ -16,7 +16,7 @@
     return out;
 }
 
-// What the leader of the worker's machine knows of it.
+// The record and tracker of a machine at the controller that leads it.
 std::string describe_leader(ClusterState& cluster, const std::string& host) {
     std::string out;
     for (SimulatedController& controller : cluster.controllers) {
--- a/tests/simulation/failure_report.hpp
+++ b/tests/simulation/failure_report.hpp
@@ -1,6 +1,6 @@
-// Texts for the message of a failed check: what the run looked like at that moment.
+// Descriptions of the present state of a run, for the messages of failed checks.
 //
-// Owns nothing, changes nothing but the caches that a lookup fills. Single-threaded test support.
+// Owns nothing; apart from caches filled by lookups, changes nothing. Single-threaded test support.
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 
 namespace wellstair::test {
 
-// Where a job's tasks are, as the controller has it, and what each controller knows of their machines.
+// The tasks of a job in the view of one controller, with every controller's tracker of their machines.
 std::string describe_tasks(ClusterState& cluster, SimulatedController& controller, const std::string& job);
-// Every change of the state service whose key names the job, one line each.
+// The changes in the state service to keys that contain the job's name, one per line.
 std::string describe_store_history(const ClusterState& cluster, const std::string& job);
-// All machines with their tasks, and all jobs that are not over.
+// All present machines with their tasks, and all accepted jobs that are neither completed nor cancelled.
 std::string describe_cluster(ClusterState& cluster);
 
 }  // namespace wellstair::test
--- a/tests/simulation/fault_injection.cpp
+++ b/tests/simulation/fault_injection.cpp
@@ -1,4 +1,4 @@
-// The faults of a simulated run: those that scenarios name, those that come at random, and the upgrade.
+// The faults of a simulated run: operations for scenarios, random faults, and the upgrade of the controllers.
 #include <algorithm>
 
 #include "simulation/simulated_cluster.hpp"
@@ -7,28 +7,28 @@
 
 namespace {
 
-constexpr double kBackInAMomentS = 0.3;  // a process that is restarted at once
-constexpr double kReplacementS = 3;      // a process that is replaced by a new version
+constexpr double kImmediateRestartS = 0.3;  // of a crashed process
+constexpr double kUpgradeRestartS = 3;      // of a process that is replaced by the new version
 
-// What a random fault may be, in the order of the draw.
+// The kinds of random faults. The value is the number drawn, so the order must stay.
 enum RandomFault : std::size_t {
     kCrash,
     kAllCrash,
-    kCutStore,
-    kCutStoreAndPeers,
-    kCutWorkers,
+    kDisconnectStore,
+    kDisconnectStoreAndPeers,
+    kDisconnectWorkers,
     kOutage,
     kMachineLost,
     kWorkerRestarts,
     kWorkerUnreachable,
-    kWorkerUnreachableToo,  // twice as likely as others
-    kCutPeers,
+    kWorkerUnreachableDuplicate,  // makes this fault twice as likely as others
+    kDisconnectPeers,
     kWorkerHangs,
-    kWorkerSilent,
-    kCutZone,
-    kSlowStore,
-    kCancelRunning,
-    kRandomFaults
+    kHeartbeatsLost,
+    kIsolateZone,
+    kSlowStoreReads,
+    kCancelRunningJobs,
+    kRandomFaultKinds  // number of kinds
 };
 
 }  // namespace
@@ -102,7 +102,7 @@
             if (worker.present && task.phase == wire::TaskPhase::running) running.insert(key.first);
     for (const std::string& id : running) {
         if (count-- <= 0) break;
-        // By way of another controller than the leader, if one takes it.
+        // Sent to another controller than the leader of most machines, if one accepts it.
         for (std::size_t i = 0; i < controller_count(); ++i)
             if (cancel(id, state_.controllers[(leader_of_most_machines() + 1 + i) % controller_count()])) break;
         if (hangS <= 0) continue;
@@ -122,7 +122,7 @@
     SimulatedController& controller = state_.controllers[random_.pick(controller_count())];
     SimulatedWorker& worker = state_.workers[random_.pick(state_.workers.size())];
     const double durationS = random_.between(2, 45);
-    const std::size_t kind = random_.pick(kRandomFaults);
+    const std::size_t kind = random_.pick(kRandomFaultKinds);
     inject_controller_fault(kind, controller, durationS);
     inject_worker_fault(kind, worker, durationS);
     inject_cluster_fault(kind, durationS);
@@ -131,19 +131,19 @@
 void SimulatedCluster::inject_controller_fault(std::size_t kind, SimulatedController& controller, double durationS) {
     const double untilS = state_.nowS + durationS;
     if (kind == kCrash)
-        controller.crash(state_.nowS + (random_.chance(0.5) ? kBackInAMomentS : random_.between(2, 12)));
-    if (kind == kCutStore || kind == kCutStoreAndPeers) controller.storeUnreachableUntilS = untilS;
-    if (kind == kCutPeers || kind == kCutStoreAndPeers) controller.peersUnreachableUntilS = untilS;
-    if (kind == kCutWorkers) controller.workersUnreachableUntilS = untilS;
+        controller.crash(state_.nowS + (random_.chance(0.5) ? kImmediateRestartS : random_.between(2, 12)));
+    if (kind == kDisconnectStore || kind == kDisconnectStoreAndPeers) controller.storeUnreachableUntilS = untilS;
+    if (kind == kDisconnectPeers || kind == kDisconnectStoreAndPeers) controller.peersUnreachableUntilS = untilS;
+    if (kind == kDisconnectWorkers) controller.workersUnreachableUntilS = untilS;
 }
 
 void SimulatedCluster::inject_worker_fault(std::size_t kind, SimulatedWorker& worker, double durationS) {
     if (kind == kMachineLost) worker.present = false;
     if (kind == kWorkerRestarts) worker.start_session(state_.nowS);
-    if (kind == kWorkerUnreachable || kind == kWorkerUnreachableToo)
+    if (kind == kWorkerUnreachable || kind == kWorkerUnreachableDuplicate)
         worker.unreachableUntilS = state_.nowS + random_.between(5, 70);
     if (kind == kWorkerHangs) worker.hang(state_.nowS, random_.between(2, 60));
-    if (kind == kWorkerSilent) worker.heartbeatsLostUntilS = state_.nowS + durationS;
+    if (kind == kHeartbeatsLost) worker.heartbeatsLostUntilS = state_.nowS + durationS;
 }
 
 void SimulatedCluster::inject_cluster_fault(std::size_t kind, double durationS) {
@@ -151,22 +151,22 @@
         for (SimulatedController& each : state_.controllers) each.crash(state_.nowS + random_.between(0.2, 9));
     if (kind == kOutage)
         for (SimulatedController& each : state_.controllers) extend(each.storeUnreachableUntilS, durationS);
-    if (kind == kCutZone) isolate_zone(random_.chance(0.5) ? "a" : "b", durationS);
-    if (kind == kSlowStore) slow_store_reads(durationS);
-    if (kind == kCancelRunning) cancel_running_jobs(2, random_.chance(0.5) ? durationS : 0);
+    if (kind == kIsolateZone) isolate_zone(random_.chance(0.5) ? "a" : "b", durationS);
+    if (kind == kSlowStoreReads) slow_store_reads(durationS);
+    if (kind == kCancelRunningJobs) cancel_running_jobs(2, random_.chance(0.5) ? durationS : 0);
 }
 
-// Processes are replaced one after the other; one that ends before its turn comes back as the old version.
+// Rolling upgrade of the controllers. A process that crashes before its turn restarts as the old version.
 void SimulatedCluster::upgrade_controllers() {
     for (std::size_t i = 0; i < controller_count(); ++i) {
         if (!at(kUpgradeStartS + kUpgradeIntervalS * static_cast<double>(i))) continue;
         state_.controllers[i].upgraded = true;
-        crash(i, kReplacementS);
+        crash(i, kUpgradeRestartS);
     }
     if (at(kStateLimitsLoweredS)) state_.store.enforce_limits(kLoweredStateLimits);
 }
 
-// A member's lease ends when it is not renewed, but not in an outage, and has its full time again after that.
+// Member leases expire without renewal. During an outage they do not, and afterwards run for their full time.
 void SimulatedCluster::end_member_leases() {
     for (SimulatedController& controller : state_.controllers) {
         if (state_.nowS < outageUntilS_) controller.memberLeaseUntilS = state_.nowS + kMemberTtlS;
@@ -176,7 +176,7 @@
     }
 }
 
-// A worker without an answer for a whole lease ends its tasks and begins a new session.
+// A worker whose heartbeats are unanswered for a whole lease ends its tasks and starts a new session.
 void SimulatedCluster::end_worker_lease(SimulatedWorker& worker) const {
     if (state_.nowS - worker.leaseStartS >= kLeaseS) worker.start_session(state_.nowS);
 }
--- a/tests/simulation/random_source.hpp
+++ b/tests/simulation/random_source.hpp
@@ -1,5 +1,5 @@
-// The seeded random numbers of one simulated run. A seed plays the same run every time, so the order and number of
-// draws is part of a scenario's meaning.
+// The seeded random numbers of one simulated run. A seed reproduces a run exactly, so a change to the order or number
+// of draws changes the run of every seed.
 //
 // Owns its engine. Single-threaded test support.
 #pragma once
@@ -13,7 +13,7 @@
   public:
     explicit RandomSource(unsigned seed) : engine_(seed) {}
 
-    // True with the probability `probability`. One draw.
+    // True with the given probability. One draw.
     bool chance(double probability) { return std::uniform_real_distribution<double>(0, 1)(engine_) < probability; }
     // Uniform in [low, high). One draw.
     double between(double low, double high) { return std::uniform_real_distribution<double>(low, high)(engine_); }
--- a/tests/simulation/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -1,4 +1,4 @@
-// What one simulated run is made of: its timetable, its limits, and the scenario that says which faults happen when.
+// Parameters of a simulated run: its timeline, settings and limits, and the scenario that defines its faults.
 //
 // Owns nothing. Single-threaded test support; all times are seconds of the simulated clock.
 #pragma once
@@ -9,16 +9,16 @@
 
 class SimulatedCluster;
 
-// The timetable of every run.
-constexpr double kStepS = 0.25;               // the clock advances by this
-constexpr double kFaultsStartS = 15;          // no fault before
-constexpr double kFaultsEndS = 240;           // no fault and no submission after
-constexpr double kRunTimeoutS = 2400;         // a run that is not over by then has failed
-constexpr double kSubmissionsStartS = 5;      // no submission before
-constexpr double kServicesStartS = 90;        // when the upgrade is over
-constexpr double kUpgradeStartS = 40;         // the first controller is replaced
-constexpr double kUpgradeIntervalS = 15;      // one more controller is replaced after each
-constexpr double kStateLimitsLoweredS = 110;  // the state service enforces kLoweredStateLimits from here on
+// The timeline, common to all runs.
+constexpr double kStepS = 0.25;               // one step of the clock
+constexpr double kFaultsStartS = 15;          // no faults before this time
+constexpr double kFaultsEndS = 240;           // no faults and no submissions after this time
+constexpr double kRunTimeoutS = 2400;         // a run with unsettled jobs at this time fails
+constexpr double kSubmissionsStartS = 5;      // no submissions before this time
+constexpr double kServicesStartS = 90;        // no services before this time, at which an upgrade has finished
+constexpr double kUpgradeStartS = 40;         // restart of the first controller with the new version
+constexpr double kUpgradeIntervalS = 15;      // interval between the restarts of two controllers
+constexpr double kStateLimitsLoweredS = 110;  // the state service then enforces kLoweredStateLimits
 
 // The settings of the simulated site.
 constexpr double kLeaseS = 20;
@@ -26,34 +26,34 @@
 constexpr double kMemberTtlS = 5;
 constexpr double kTeamRedMaxCores = 20;
 constexpr double kTeamBlueMaxCores = 24;
-constexpr int kMaxServices = 1;  // a service keeps its room until the end: more might leave a gang none for ever
+constexpr int kMaxServices = 1;  // services run until the end: several could block a gang for good
 
-// The behaviour of workers.
-constexpr double kHeartbeatTimeoutS = 4;            // a worker waits no longer for the answer to a heartbeat
-constexpr double kMinChangeHeartbeatS = 0.5;        // heartbeats that report a change come no closer together
-constexpr double kGangPeerTimeoutS = 8;             // a task of a gang exits when a peer has been missing for so long
+// The workers.
+constexpr double kHeartbeatTimeoutS = 4;            // a worker then gives up on the response
+constexpr double kMinChangeHeartbeatS = 0.5;        // minimum interval of heartbeats that report a change
+constexpr double kGangPeerTimeoutS = 8;             // a gang task exits when a peer is missing for longer
 constexpr double kMachineCores = 8;                 // of every machine type of the site
-constexpr double kMaxWaitDespiteCapacityS = 90;     // after the faults, of a job that some machine has room for
+constexpr double kMaxWaitDespiteCapacityS = 90;     // after the faults, for a job that some machine has capacity for
 constexpr std::size_t kMinWorkers = 6;              // lost machines are replaced below this number
 constexpr std::size_t kInitialWorkers = 8;          // at the start of a run
 constexpr std::size_t kInitialUpgradeWorkers = 24;  // at the start of a run with an upgrade
 
-// What the state service takes once its limits have fallen: a shard of eight machines is too large for it.
+// The limits of the state service once they are lowered. A shard of eight machines exceeds them.
 constexpr config::StateLimits kLoweredStateLimits{0.45, 15, 5};
 
-// Which faults a run has. Without `onStep`, faults come at random.
+// The faults and load of a run. Without `onStep`, faults are drawn at random.
 struct Scenario {
     const char* name;
-    // Called at every step between kFaultsStartS and kFaultsEndS.
+    // Injects the faults; called at every step between kFaultsStartS and kFaultsEndS.
     void (*onStep)(SimulatedCluster&, double nowS) = nullptr;
-    double lostTransactionReplyShare = 0.02;  // share of transactions without an answer; most of them are applied later
-    double delayedHeartbeatCopyShare = 0.05;  // share of heartbeats of which a copy arrives later
-    double urgentJobShare = 0.3;              // share of jobs of the priority class `urgent`
-    double submissionChance = 0.06;           // chance that a job is submitted in one step
-    double lostCommandReplyShare = 0.03;      // share of commands without a reply; half of these execute later
-    bool upgrade = false;  // begins with old versions that are replaced one after the other; then the limits fall
-    double slowMessageShare =
-        0.1;  // share of heartbeats, commands, answers and replies that take up to two seconds each
+    double lostTransactionReplyShare = 0.02;  // transactions without a reply; most are applied later
+    double delayedHeartbeatCopyShare = 0.05;  // heartbeats of which a delayed copy arrives
+    double urgentJobShare = 0.3;              // jobs of the priority class `urgent`
+    double submissionChance = 0.06;           // probability of a submission in one step
+    double lostCommandReplyShare = 0.03;      // command batches without a reply; half of them execute later
+    // Whether the run starts with the old version, upgrades the controllers one by one, and then lowers the limits.
+    bool upgrade = false;
+    double slowMessageShare = 0.1;  // messages between workers and controllers delayed by up to two seconds
 };
 
 }  // namespace wellstair::test
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr double kRandomFault = 0.05;   // chance of a random fault in one step
-constexpr double kRandomCancel = 0.01;  // chance of a cancellation in one step
-constexpr double kRandomQuery = 0.02;   // chance of a question or repeated submission in one step
-constexpr double kSettlingS = 60;       // a run ends no earlier after its faults
+constexpr double kRandomFaultChance = 0.05;   // per step
+constexpr double kRandomCancelChance = 0.01;  // per step
+constexpr double kRandomQueryChance = 0.02;   // per step, of a status request and repeated submission
+constexpr double kMinSettlingS = 60;          // minimum time from the last fault to the end of a run
 
 std::string zone_of(const std::string& controller) {
     return controller == "k-2" ? "b" : "a";
@@ -50,7 +50,7 @@
 
 SimulatedWorker& SimulatedCluster::add_worker() {
     ++machinesCreated_;
-    // In an upgrade the machines of a zone are all of one shard, so that it has to be divided.
+    // In an upgrade all machines of a zone belong to one shard, so that it must be split.
     char name[16];
     std::snprintf(name, sizeof name, "n-%06d", state_.scenario.upgrade ? 6 * machinesCreated_ : machinesCreated_);
     SimulatedWorker worker;
@@ -71,7 +71,7 @@
     while (present() < kMinWorkers) add_worker();
 }
 
-// Rented when the faults are over: every kind of job has machines that fit.
+// Ensures after the faults that every job has machines that satisfy its constraints.
 void SimulatedCluster::add_workers_of_all_kinds() {
     for (const char* zone : {"a", "b"})
         for (int i = 0; i < 2; ++i) {
@@ -89,7 +89,7 @@
         inject_faults_and_requests();
         run_step();
         invariants_.check_step();
-        if (state_.nowS <= kFaultsEndS + kSettlingS) continue;
+        if (state_.nowS <= kFaultsEndS + kMinSettlingS) continue;
         if (!deliveries_pending() && state_.all_jobs_settled()) break;
     }
     invariants_.check_end();
@@ -99,13 +99,13 @@
     if (state_.scenario.upgrade) upgrade_controllers();
     if (faults_active() && state_.scenario.onStep)
         state_.scenario.onStep(*this, state_.nowS);
-    else if (faults_active() && random_.chance(kRandomFault))
+    else if (faults_active() && random_.chance(kRandomFaultChance))
         inject_random_fault();
     if (at(kFaultsEndS)) add_workers_of_all_kinds();
-    const bool submissions = state_.nowS > kSubmissionsStartS && before_faults_end();
-    if (submissions && random_.chance(state_.scenario.submissionChance)) submit(++jobsSubmitted_);
-    if (faults_active() && random_.chance(kRandomCancel)) cancel_random_job();
-    if (random_.chance(kRandomQuery)) query_random_job();
+    const bool acceptsSubmissions = state_.nowS > kSubmissionsStartS && before_faults_end();
+    if (acceptsSubmissions && random_.chance(state_.scenario.submissionChance)) submit(++jobsSubmitted_);
+    if (faults_active() && random_.chance(kRandomCancelChance)) cancel_random_job();
+    if (random_.chance(kRandomQueryChance)) query_random_job();
     replace_lost_workers();
 }
 
@@ -114,7 +114,7 @@
     for (SimulatedWorker& worker : state_.workers) end_worker_lease(worker);
     deliver_delayed();
     network_.deliver_due(state_.nowS);
-    // All plan on what they have read before any of them writes, as controllers do.
+    // All controllers plan before any of them commits, since real controllers plan concurrently on cached state.
     for (SimulatedController& controller : state_.controllers) run_planning_phase(controller);
     for (SimulatedController& controller : state_.controllers) run_commit_phase(controller);
     for (SimulatedWorker& worker : state_.workers)
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -1,21 +1,21 @@
-// A cluster of three controllers, some workers and their users on a simulated clock, with faults that a seed or a
-// scenario brings: controllers that crash and are back in a moment, lose the store, their peers or the workers; member
-// leases that run out; transactions that apply late; zones cut off with a controller inside; machines that die,
-// restart, hang, receive nothing or reach nobody; commands that execute late; copies of heartbeats; an upgrade, and
-// state limits that fall. Messages take time, so that they may overtake one another. ClusterInvariants checks the rules
-// at every step and, when the faults are over, that every accepted job ends or serves.
+// Deterministic simulation of three controllers, their workers and users on a simulated clock, with faults drawn from a
+// seed or injected by a scenario: controllers crash, restart at once, or lose the state service, their peers or their
+// workers; member leases expire; transactions apply late; zones are isolated together with a controller; machines are
+// lost, restart, hang, or lose messages in one direction; commands execute late; heartbeats are duplicated; controllers
+// are upgraded and state limits are lowered. Messages are delayed and reordered. ClusterInvariants checks the
+// invariants at every step and, after the faults, that every accepted job ends or, as a service, runs.
 //
-// One class, by concern:
+// The implementation of the class by concern:
 //   simulated_cluster.cpp     the clock and the order of events within a step
-//   fault_injection.cpp       the faults that scenarios name, and those that come at random
-//   delayed_deliveries.cpp    transactions, commands and heartbeats that arrive late
-//   cluster_users.cpp         submissions, cancellations and questions
-//   cluster_controllers.cpp   what controllers do in a step
+//   fault_injection.cpp       faults of scenarios, random faults, the upgrade
+//   delayed_deliveries.cpp    late transactions, commands and copies of heartbeats
+//   cluster_users.cpp         submissions, cancellations and status requests
+//   cluster_controllers.cpp   the controllers' work in a step
 //   cluster_messages.cpp      commands and heartbeats between controllers and workers
 //   cluster_tasks.cpp         tasks on the workers
 //
-// Owns the state of the run, its random numbers and its network. Single-threaded. What a seed shows
-// depends on the order and number of random draws: changing them makes other runs of all seeds.
+// Owns the state of the run, its random numbers and its network. Single-threaded. A change to the order or number of
+// random draws changes the run of every seed.
 #pragma once
 
 #include <optional>
@@ -31,46 +31,47 @@
 
 class SimulatedCluster {
   public:
-    explicit SimulatedCluster(unsigned seed, const Scenario& scenario = {"mix"});
+    explicit SimulatedCluster(unsigned seed, const Scenario& scenario = {"random_faults"});
 
-    // Plays the whole run; failed checks are reported to GTest.
+    // Simulates the whole run and reports failed checks to GTest.
     void run();
 
-    // --- the vocabulary of scenarios; durations are seconds from now
+    // --- operations for scenarios; durations are seconds from the present step
 
-    // True in the one step that belongs to the time `atS`.
+    // Whether `atS` falls into the present step.
     bool at(double atS) const { return state_.step_contains(atS); }
     std::size_t controller_count() const { return state_.controllers.size(); }
-    // The controller that leads most machines.
+    // Index of the controller that leads the most machines.
     std::size_t leader_of_most_machines();
-    // Ends a controller's process; it is back after `durationS`.
+    // Ends the process of a controller, which restarts after `durationS`.
     void crash(std::size_t controller, double durationS);
-    // The state service refuses this controller alone.
+    // Disconnects one controller from the state service.
     void disconnect_store(std::size_t controller, double durationS);
+    // Disconnects one controller from its peers.
     void disconnect_peers(std::size_t controller, double durationS);
-    // The state service refuses everybody, and ends no member lease.
+    // Makes the state service unavailable to all controllers. Member leases do not expire in an outage.
     void store_outage(double durationS);
-    // The state service answers, but its reads hang.
+    // Makes most reads from the state service hang, while it still accepts writes.
     void slow_store_reads(double durationS);
-    // Nothing gets in or out of the zone, the state service included.
+    // Disconnects a zone from the other zones and from the state service.
     void isolate_zone(const std::string& zone, double durationS);
-    // A share of the workers receives neither commands nor answers.
+    // Drops commands and heartbeat responses to a random share of the workers.
     void make_workers_unreachable(double share, double durationS);
-    // Heartbeats of a share of the workers are lost.
+    // Drops the heartbeats of a random share of the workers.
     void drop_heartbeats(double share, double durationS);
-    // A share of the workers hangs.
+    // Suspends a random share of the workers.
     void hang_workers(double share, double durationS);
-    // Machines are gone for good.
+    // Removes up to `count` random machines permanently.
     void remove_machines(int count);
-    // Cancels up to `count` running jobs; their machines hang for `hangS`.
+    // Cancels up to `count` running jobs and suspends their machines for `hangS`.
     void cancel_running_jobs(int count, double hangS = 0);
-    // From now on a job is cancelled with this chance when its last task ends.
+    // Sets the probability that a job is cancelled in the step in which its last task succeeds.
     void set_cancel_at_completion_chance(double chance) { cancelAtCompletionChance_ = chance; }
-    // Cancels the jobs of which a start had no reply and is still under way.
+    // Cancels the jobs that have a start command without a reply that is still to be executed.
     void cancel_jobs_with_delayed_start();
 
   private:
-    // Commands that a controller has sent to one worker.
+    // A batch of commands sent by a controller to one worker.
     struct SentCommands {
         std::size_t controller;
         std::uint64_t incarnation;  // of the sending process
@@ -78,23 +79,26 @@
         std::uint64_t agentEpoch, fencingToken;
         std::vector<wire::Command> commands;
     };
+    // A transaction without a reply that is applied at `atS`.
     struct DelayedTransaction {
         double atS;
         wire::Json body;
     };
+    // Commands without a reply that are executed at `atS`.
     struct DelayedCommands {
         double atS;
         SentCommands sent;
     };
+    // A duplicate of a heartbeat that arrives at `atS`.
     struct HeartbeatCopy {
         double atS;
         std::size_t controller;
         wire::Heartbeat heartbeat;
     };
-    // The answer to a heartbeat.
+    // The response to a heartbeat, with its HTTP status.
     struct HeartbeatReply {
         int status = 503;
-        std::string leader;  // with 421: whom to ask
+        std::string leader;  // with 421: the controller to send to
         std::uint64_t fencingToken = 0;
         std::vector<wire::Command> commands;
     };
@@ -119,7 +123,7 @@
     void end_member_leases();
     void end_worker_lease(SimulatedWorker& worker) const;
 
-    // Late deliveries.
+    // Delayed deliveries.
     bool deliveries_pending() const;
     void deliver_delayed();
     void apply_delayed_transactions();
@@ -157,7 +161,7 @@
     void send_heartbeat(SimulatedWorker& worker);
     void receive_heartbeat(const std::string& host, std::size_t controller, const wire::Heartbeat& heartbeat);
     void receive_heartbeat_reply(const std::string& host, const wire::Heartbeat& heartbeat,
-                                 const HeartbeatReply& answer);
+                                 const HeartbeatReply& reply);
     void send_due_heartbeat(SimulatedWorker& worker);
     void try_next_controller(SimulatedWorker& worker, double delayS) const;
 
@@ -179,7 +183,7 @@
     std::vector<DelayedTransaction> delayedTransactions_;
     std::vector<DelayedCommands> delayedCommands_;
     std::vector<HeartbeatCopy> heartbeatCopies_;
-    std::uint64_t lastIncarnation_ = 0;  // processes started so far
+    std::uint64_t lastIncarnation_ = 0;  // of the process started last
     int machinesCreated_ = 0;
     int jobsSubmitted_ = 0;
 };
--- a/tests/simulation/simulated_network.hpp
+++ b/tests/simulation/simulated_network.hpp
@@ -1,7 +1,7 @@
-// The messages under way between workers and controllers of a simulated run. Some take up to two seconds, so that they
-// may overtake one another.
+// The network between workers and controllers of a simulated run. Some messages are delayed by up to two seconds, so
+// messages may be delivered out of order.
 //
-// Owns the messages under way and the random numbers that decide on their delay. Single-threaded test support.
+// Owns the messages in flight and the random numbers for their delays. Single-threaded test support.
 #pragma once
 
 #include <functional>
@@ -13,21 +13,21 @@
 
 class SimulatedNetwork {
   public:
-    // `slowMessageShare` is the share of messages that are delayed while the run has faults.
+    // `slowMessageShare` is the share of messages that are delayed until kFaultsEndS.
     SimulatedNetwork(unsigned seed, double slowMessageShare) : random_(seed), slowMessageShare_(slowMessageShare) {}
 
-    // How long the next message takes, in seconds; most arrive in the step in which they were sent.
+    // Draws the delay of the next message in seconds; 0, which most have, is delivery in the step of sending.
     double next_delay(double nowS);
-    // Runs `arrival` after `delayS`, at once if there is no delay.
-    void send(double nowS, double delayS, std::function<void()> arrival);
-    // Runs what is due, in the order of arrival, with all that it sends without delay.
+    // Calls `deliver` after `delayS`, or immediately without a delay.
+    void send(double nowS, double delayS, std::function<void()> deliver);
+    // Delivers the messages that are due, in order of arrival time, and whatever they send without a delay.
     void deliver_due(double nowS);
     bool empty() const { return inFlight_.empty(); }
 
   private:
     RandomSource random_;
     double slowMessageShare_;
-    std::multimap<double, std::function<void()>> inFlight_;  // by time of arrival
+    std::multimap<double, std::function<void()>> inFlight_;  // deliveries by arrival time
 };
 
 }  // namespace wellstair::test
--- a/tests/simulation/simulated_worker.hpp
+++ b/tests/simulation/simulated_worker.hpp
@@ -1,7 +1,7 @@
-// One worker of a simulated run: its machine, its agent's session and lease, its tasks, and the faults it suffers.
+// One worker of a simulated run: its machine, the session and lease of its agent, its tasks, and its present faults.
 //
-// Owns the state of the worker. What happens to it is decided by SimulatedCluster. Single-threaded test support; all
-// times are seconds of the simulated clock.
+// Owns the state of the worker; SimulatedCluster drives it. Single-threaded test support; all times are seconds of the
+// simulated clock.
 #pragma once
 
 #include <cstdint>
@@ -14,53 +14,54 @@
 
 namespace wellstair::test {
 
+// A task on a worker, running or ended and not yet acknowledged.
 struct SimulatedTask {
     std::uint32_t attempt = 0;
     wire::TaskPhase phase = wire::TaskPhase::running;
     wire::Cause cause = wire::Cause::none;
     double endsAtS = 0;
-    double gangLastCompleteAtS = 0;  // when all tasks of its gang were last running
+    double gangLastCompleteAtS = 0;  // when all tasks of its gang last ran
 
     bool ended() const { return phase == wire::TaskPhase::ended; }
-    void end(wire::Cause why) {
+    void end(wire::Cause endCause) {
         phase = wire::TaskPhase::ended;
-        cause = why;
+        cause = endCause;
     }
 };
 
 struct SimulatedWorker {
     std::string name, machineType = "c8", zone = "a";
     bool spot = false;
-    bool present = true;  // false: the machine is gone for good
+    bool present = true;  // false once the machine is lost permanently
 
     std::uint64_t agentEpoch = 1;
     std::uint64_t sequence = 0;      // of the last heartbeat or command reply
-    std::uint64_t fencingToken = 0;  // the highest that it has been given
+    std::uint64_t fencingToken = 0;  // the highest one received
 
-    double leaseStartS = 0;  // when the last answered heartbeat was sent, or the session began
+    double leaseStartS = 0;  // send time of the last answered heartbeat, or start of the session
     double nextHeartbeatS = 0;
     double lastHeartbeatS = -kHeartbeatTimeoutS;
-    bool leaseRenewed = false;           // some heartbeat of this session has been answered
-    std::uint64_t awaitedHeartbeat = 0;  // sequence of the heartbeat that waits for its answer; 0: none
-    std::size_t controller = 0;          // index of the controller that it sends heartbeats to
+    bool leaseRenewed = false;           // whether a heartbeat of this session has been answered
+    std::uint64_t awaitedHeartbeat = 0;  // sequence of the unanswered heartbeat; 0: none
+    std::size_t controller = 0;          // index of the controller that receives its heartbeats
 
-    double unreachableUntilS = 0;     // receives neither commands nor answers
-    double heartbeatsLostUntilS = 0;  // its heartbeats are lost, commands reach it
-    double hungUntilS = 0;            // does nothing at all, and then goes on where it was
+    double unreachableUntilS = 0;     // receives neither commands nor heartbeat responses
+    double heartbeatsLostUntilS = 0;  // its heartbeats are lost, but commands arrive
+    double hungUntilS = 0;            // suspended, and continues afterwards where it stopped
 
     std::map<workers::TaskKey, SimulatedTask> tasks;
 
-    // Begins a new session without tasks, as after a restart or the end of the lease.
+    // Starts a new session without tasks, as after a restart or the expiry of the lease.
     void start_session(double nowS);
-    // Stops doing anything for `durationS`; its tasks take longer by as much.
+    // Suspends the worker for `durationS`, which postpones the end of its tasks by the same time.
     void hang(double nowS, double durationS);
-    // The next heartbeat or command reply, with a sequence number of its own.
+    // The next heartbeat or command reply, with a new sequence number.
     wire::Heartbeat next_heartbeat();
-    // Brings the next heartbeat forward, as a change of a task does.
+    // Moves the next heartbeat forward because a task has changed.
     void report_change(double nowS);
-    // Whether machine type, zone and kind of machine are what the job allows.
+    // Whether the job allows the worker's machine type, zone and, for a spot machine, spot capacity.
     bool fits(const wire::JobSpec& spec) const;
-    // Whether any task of the job is in its list.
+    // Whether the worker has a task of the job, running or ended.
     bool has_task_of(const std::string& job) const;
 };
 
