--- a/tests/fault_scenarios_test.cpp
+++ b/tests/fault_scenarios_test.cpp
@@ -1,5 +1,5 @@
-// Seeded runs with the faults that PROTOCOL and the operators name, and scenarios that combine two or more of them. The
-// cluster that they run on is simulation/simulated_cluster.hpp.
+// Fault-injection tests on the simulated cluster of simulation/simulated_cluster.hpp: seeded runs with random faults of
+// the kinds that PROTOCOL and operators name, and scenarios that combine several of them.
 #include <gtest/gtest.h>
 
 #include "simulation/simulated_cluster.hpp"
@@ -10,13 +10,13 @@
 
 class RandomFaults : public testing::TestWithParam<unsigned> {};
 
-TEST_P(RandomFaults, KeepTheRulesAndEveryJobEnds) {
+TEST_P(RandomFaults, InvariantsHoldAndEveryJobEnds) {
     SimulatedCluster(GetParam()).run();
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range(1u, 13u));
 
-// The combinations of faults that the operators have named, one scenario each.
+// Combinations of faults named by operators.
 const Scenario kScenarios[] = {
     {.name = "LateTransactions",
      .onStep =
@@ -25,13 +25,13 @@
              if (cluster.at(80) || cluster.at(120)) cluster.cancel_running_jobs(2);
          },
      .lostTransactionReplyShare = 0.25},
-    {.name = "JobsBoundToAZoneLoseMachines",
+    {.name = "ZoneBoundJobsLoseMachines",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(60) || cluster.at(140)) cluster.remove_machines(4);
              if (cluster.at(100)) cluster.isolate_zone("b", 30);
          }},
-    {.name = "TeamAtItsLimitWhenTheLeaderChanges",
+    {.name = "LeaderChangesWhileTeamIsAtItsQuota",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(70) || cluster.at(150))
@@ -40,7 +40,7 @@
              if (cluster.at(74) || cluster.at(154)) cluster.cancel_running_jobs(3);
          },
      .submissionChance = 0.08},
-    {.name = "CancelledAtTheEnd",
+    {.name = "CancelledAtCompletion",
      .onStep = [](SimulatedCluster& cluster, double) { cluster.set_cancel_at_completion_chance(0.6); }},
     {.name = "DelayedHeartbeatCopies",
      .onStep =
@@ -50,7 +50,7 @@
              if (cluster.at(95)) cluster.cancel_running_jobs(2);
          },
      .delayedHeartbeatCopyShare = 0.4},
-    {.name = "SlowStoreThenLeaderRefusedThenOutage",
+    {.name = "SlowStoreThenLeaderDisconnectedThenOutage",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(40)) cluster.slow_store_reads(30);
@@ -59,7 +59,7 @@
              if (cluster.at(84)) cluster.store_outage(66);
              if (cluster.at(168)) cluster.store_outage(60);
          }},
-    {.name = "AllAwayForLongerThanALease",
+    {.name = "AllControllersDownForLongerThanALease",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(60) || cluster.at(150))
@@ -76,7 +76,7 @@
              if (cluster.at(76)) cluster.cancel_running_jobs(2);
              if (cluster.at(78) || cluster.at(131)) cluster.crash(1, 0.3);
          }},
-    {.name = "ZoneCutOffWithAController",
+    {.name = "ZoneIsolatedWithAController",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(60)) cluster.isolate_zone("b", 32);
@@ -84,21 +84,21 @@
              if (cluster.at(70)) cluster.crash(cluster.leader_of_most_machines(), 4);
              if (cluster.at(140)) cluster.isolate_zone("a", 50);
          }},
-    {.name = "MoreWorkThanRoom",
+    {.name = "DemandExceedsCapacity",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(100)) cluster.crash(cluster.leader_of_most_machines(), 5);
          },
      .urgentJobShare = 0.5,
      .submissionChance = 0.09},
-    {.name = "SilentMachines",
+    {.name = "HeartbeatsLost",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(50) || cluster.at(130)) cluster.drop_heartbeats(0.6, 45);
              if (cluster.at(53) || cluster.at(133)) cluster.cancel_running_jobs(3);
              if (cluster.at(135)) cluster.crash(cluster.leader_of_most_machines(), 5);
          }},
-    {.name = "HungMachinesGoOn",
+    {.name = "HungMachinesResume",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(50)) cluster.cancel_running_jobs(3, 12);
@@ -115,16 +115,16 @@
              if (cluster.at(61) || cluster.at(141)) cluster.crash(cluster.leader_of_most_machines(), 5);
              if (cluster.at(70)) cluster.cancel_running_jobs(2);
          }},
-    {.name = "LeaderCutFromStoreAndPeers",
+    {.name = "LeaderDisconnectedFromStoreAndPeers",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(60) || cluster.at(150)) {
-                 auto i = cluster.leader_of_most_machines();
-                 cluster.disconnect_store(i, 50), cluster.disconnect_peers(i, 50);
+                 auto leader = cluster.leader_of_most_machines();
+                 cluster.disconnect_store(leader, 50), cluster.disconnect_peers(leader, 50);
              }
              if (cluster.at(62) || cluster.at(64) || cluster.at(70) || cluster.at(153)) cluster.cancel_running_jobs(2);
          }},
-    {.name = "CancelledAtTheMomentOfTheRefusal",
+    {.name = "CancelledWhenLeaderIsDisconnectedFromStore",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(70) || cluster.at(160)) {
@@ -135,25 +135,26 @@
          }},
     {.name = "LeadersChangeTenTimes",
      .onStep =
-         [](SimulatedCluster& cluster, double now) {
-             for (int k = 0; k < 10; ++k)
-                 if (cluster.at(60 + 12 * k)) cluster.crash(cluster.leader_of_most_machines(), k % 3 ? 5 : 0.3);
+         [](SimulatedCluster& cluster, double nowS) {
+             for (int i = 0; i < 10; ++i)
+                 if (cluster.at(60 + 12 * i)) cluster.crash(cluster.leader_of_most_machines(), i % 3 ? 5 : 0.3);
              if (cluster.at(100)) cluster.store_outage(25);
-             if (now > 90 && now < 91) cluster.cancel_running_jobs(1);
+             if (nowS > 90 && nowS < 91) cluster.cancel_running_jobs(1);
          }},
-    // A start without an answer executes up to 90 s later, when its job has long been cancelled.
+    // A start command without a reply executes up to 90 s later, long after the cancellation of its job.
     {.name = "CancelledStartsDelayed",
      .onStep = [](SimulatedCluster& cluster, double) { cluster.cancel_jobs_with_delayed_start(); },
      .submissionChance = 0.12,
      .lostCommandReplyShare = 0.3},
-    // Commands end tasks and start others while the heartbeat of the first change is still on its way: the replies
-    // overtake it. Then the machines reach nobody for longer than a lease.
-    {.name = "HeartbeatsCrossCommandRepliesThenSilence",
+    // Commands end and start tasks while the heartbeat of the first change is in flight, so that command replies
+    // overtake it. Then the heartbeats of most machines are lost for longer than a lease.
+    {.name = "CommandRepliesOvertakeHeartbeatsThenHeartbeatsLost",
      .onStep =
          [](SimulatedCluster& cluster, double) {
-             for (double at : {40.0, 95.0, 150.0}) {
-                 if (cluster.at(at) || cluster.at(at + 1) || cluster.at(at + 2)) cluster.cancel_running_jobs(3);
-                 if (cluster.at(at + 3)) cluster.drop_heartbeats(0.7, 40);
+             for (double startS : {40.0, 95.0, 150.0}) {
+                 if (cluster.at(startS) || cluster.at(startS + 1) || cluster.at(startS + 2))
+                     cluster.cancel_running_jobs(3);
+                 if (cluster.at(startS + 3)) cluster.drop_heartbeats(0.7, 40);
              }
          },
      .submissionChance = 0.12,
@@ -162,7 +163,8 @@
     {.name = "UpgradeWithCrashes",
      .onStep =
          [](SimulatedCluster& cluster, double) {
-             // Before a turn: back old. During it, right after it, and when the limits fall.
+             // Before the leader's turn in the upgrade, when it restarts as the old version; during and right after a
+             // turn; and when the limits are lowered.
              if (cluster.at(35) || cluster.at(56) || cluster.at(71) || cluster.at(111))
                  cluster.crash(cluster.leader_of_most_machines(), 0.3);
              if (cluster.at(90) || cluster.at(150))
@@ -172,18 +174,18 @@
          },
      .lostTransactionReplyShare = 0.1,
      .upgrade = true},
-    {.name = "UpgradeMeetsAnOutage",
+    {.name = "UpgradeDuringOutage",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(50)) cluster.store_outage(12);
-             if (cluster.at(75)) cluster.disconnect_store(2, 30);  // the last one is away when the switch is due
+             if (cluster.at(75)) cluster.disconnect_store(2, 30);  // disconnected when the layout switch is due
              if (cluster.at(108)) cluster.store_outage(10);
              if (cluster.at(112)) cluster.remove_machines(2);
              if (cluster.at(130)) cluster.cancel_running_jobs(2);
          },
      .lostTransactionReplyShare = 0.05,
      .upgrade = true},
-    {.name = "LimitsFallWhileAMemberIsAway",
+    {.name = "LimitsLoweredWhileAMemberIsDisconnected",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(66)) cluster.disconnect_store(0, 110);
@@ -192,7 +194,7 @@
              if (cluster.at(125)) cluster.make_workers_unreachable(0.3, 30);
          },
      .upgrade = true},
-    {.name = "UpgradeMeetsACutZone",
+    {.name = "UpgradeDuringZoneIsolation",
      .onStep =
          [](SimulatedCluster& cluster, double) {
              if (cluster.at(60) || cluster.at(140)) cluster.isolate_zone("b", 32);
@@ -206,7 +208,7 @@
 
 class CombinedFaults : public testing::TestWithParam<std::tuple<std::size_t, unsigned>> {};
 
-TEST_P(CombinedFaults, KeepTheRules) {
+TEST_P(CombinedFaults, InvariantsHoldAndEveryJobEnds) {
     auto [scenario, seed] = GetParam();
     SimulatedCluster(seed, kScenarios[scenario]).run();
 }
@@ -214,9 +216,9 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, CombinedFaults,
                          testing::Combine(testing::Range(std::size_t{0}, std::size(kScenarios)),
                                           testing::Values(1u, 2u)),
-                         [](const auto& p) {
-                             return std::string(kScenarios[std::get<0>(p.param)].name) +
-                                    std::to_string(std::get<1>(p.param));
+                         [](const auto& info) {
+                             return std::string(kScenarios[std::get<0>(info.param)].name) +
+                                    std::to_string(std::get<1>(info.param));
                          });
 
 }  // namespace
--- a/tests/upgrade_compatibility_test.cpp
+++ b/tests/upgrade_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// What production stored is read by the present code, and until the switch of the layout the present code writes the
-// same bytes.
+// Compatibility with the version in production: the present code reads what production stored, and until the layout
+// switch it writes the same bytes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,35 +16,35 @@
 
 namespace {
 
-TEST(Upgrade, WritesTheSameBytesAsProductionBeforeTheSwitch) {
+TEST(Upgrade, WritesTheSameBytesAsProductionBeforeLayoutSwitch) {
     config::Settings settings = site_settings();
     settings.nextStateLimits = kAnnouncedLimits;
     StoredStory story(settings, [](const controller::Core& core, const config::Settings&) {
         wire::Json data = core.member_data().encode();
         EXPECT_EQ(data["v"], state::kLayoutWithSplitShards);
-        data.erase("v");  // production ignores it, and members that do not have it keep the switch away
+        data.erase("v");  // production ignores this field, and a member record without it prevents the layout switch
         return data;
     });
-    auto now = story.tell();
-    auto kept = production_state();
-    ASSERT_EQ(now.size(), kept.size());
-    // Within a transaction the order says nothing.
-    auto earlier = [](const auto& a, const auto& b) {
+    auto written = story.tell();
+    auto stored = production_state();
+    ASSERT_EQ(written.size(), stored.size());
+    // The order within a transaction is not significant.
+    auto byRevisionAndPath = [](const auto& a, const auto& b) {
         return std::tie(a.revision, a.path) < std::tie(b.revision, b.path);
     };
-    std::sort(now.begin(), now.end(), earlier);
-    std::sort(kept.begin(), kept.end(), earlier);
-    for (std::size_t i = 0; i < kept.size(); ++i) {
-        EXPECT_EQ(now[i].path, kept[i].path);
-        EXPECT_EQ(now[i].revision, kept[i].revision) << kept[i].path;
-        ASSERT_EQ(now[i].data.has_value(), kept[i].data.has_value()) << kept[i].path;
-        if (kept[i].data) {
-            EXPECT_EQ(now[i].data->dump(), kept[i].data->dump()) << kept[i].path;
+    std::sort(written.begin(), written.end(), byRevisionAndPath);
+    std::sort(stored.begin(), stored.end(), byRevisionAndPath);
+    for (std::size_t i = 0; i < stored.size(); ++i) {
+        EXPECT_EQ(written[i].path, stored[i].path);
+        EXPECT_EQ(written[i].revision, stored[i].revision) << stored[i].path;
+        ASSERT_EQ(written[i].data.has_value(), stored[i].data.has_value()) << stored[i].path;
+        if (stored[i].data) {
+            EXPECT_EQ(written[i].data->dump(), stored[i].data->dump()) << stored[i].path;
         }
     }
 }
 
-TEST(Upgrade, ReadsAllThatProductionStored) {
+TEST(Upgrade, ReadsProductionState) {
     InMemoryStateStore store;
     load_production_state(store);
     UpgradedController a(store);
@@ -67,14 +67,14 @@
     EXPECT_EQ(state.teams().at("red").shares.at("a").cores, 208000);
     EXPECT_EQ(state.cloud_role_holder(), "a");
     EXPECT_EQ(state.layout_revision(), 0u);
-    // Each kind of record is written again as it was read.
+    // Every kind of record encodes to the bytes that it was decoded from.
     for (const auto& [key, value] : store.keys()) {
         const std::string bytes = value.first.dump();
         if (key.starts_with("ws/hosts/")) {
             auto hosts = state::decode_shard(value.first);
             EXPECT_EQ(state::encode_shard(hosts).dump(), bytes);
             state::ShardSize size;
-            for (const auto& h : hosts) size.add(h);
+            for (const auto& host : hosts) size.add(host);
             EXPECT_GE(size.bytes(), bytes.size()) << key;
             EXPECT_LE(size.bytes(), bytes.size() + hosts.size()) << key;
         } else if (key.starts_with("ws/steps/")) {
@@ -91,10 +91,10 @@
     }
 }
 
-TEST(Upgrade, PacketsStayAsTheyAre) {
-    const std::string kept = production_packet();
-    EXPECT_EQ(peers::pack(StoredStory::peerStatus()), kept);
-    auto peerStatus = peers::unpack(kept);
+TEST(Upgrade, PeerPacketMatchesProduction) {
+    const std::string stored = production_packet();
+    EXPECT_EQ(peers::pack(StoredStory::peerStatus()), stored);
+    auto peerStatus = peers::unpack(stored);
     ASSERT_TRUE(peerStatus);
     EXPECT_EQ(peerStatus->member, "stairhost-1");
     EXPECT_EQ(peerStatus->cancelled.size(), 2u);
--- a/tests/upgrade_fixture.cpp
+++ b/tests/upgrade_fixture.cpp
@@ -74,7 +74,7 @@
     for (const auto& [key, value] : store.keys()) {
         if (!key.starts_with("ws/hosts/")) continue;
         for (const auto& host : state::decode_shard(value.first)) {
-            EXPECT_TRUE(machines.emplace(host.name, host).second) << host.name << " is in two shards";
+            EXPECT_TRUE(machines.emplace(host.name, host).second) << host.name << " is in several shards";
         }
     }
     return machines;
--- a/tests/upgrade_fixture.hpp
+++ b/tests/upgrade_fixture.hpp
@@ -1,6 +1,6 @@
-// A controller on the data that production stored, and questions to that data, for the tests of the upgrade.
+// A controller on the state that production stored, and queries on that state, for the tests of the upgrade.
 //
-// Owns the controller's core; the state service stands outside, so that one process can follow another on it.
+// Owns the controller's core but not the state service, so that several processes can use the same store in turn.
 // Single-threaded test support.
 #pragma once
 
@@ -15,13 +15,13 @@
 
 namespace wellstair::test {
 
-// The announced limits: some shards of production are too large for them.
+// The announced limits. Some shards of the production state exceed them.
 constexpr config::StateLimits kAnnouncedLimits{2, 15, 5};
 
-// Controller `a` of two. Time passes by a quarter of a second a round.
+// Controller `a` of two. The clock advances by 0.25 s with every round.
 class UpgradedController {
   public:
-    // A new process that has registered and serves; `next` are the limits announced in its settings.
+    // Starts a process that is registered and serves. `announcedLimits` are the limits announced in its settings.
     explicit UpgradedController(InMemoryStateStore& store,
                                 std::optional<config::StateLimits> announcedLimits = kAnnouncedLimits,
                                 std::uint64_t incarnation = 21);
@@ -30,19 +30,19 @@
     state::StateCache& state() { return core_->state(); }
     controller::Timestamp now() const { return {timeS_, 1'000'200 + timeS_}; }
 
-    // Another process's write, to which no limits apply, read here at once.
+    // Writes a key as another process, exempt from the limits, and reads the change.
     void put(const std::string& path, const wire::Json& data);
-    // The other controller, `b`, runs the present version from now on.
+    // Registers the other controller, `b`, as a process of the present version.
     void upgrade_peer(std::uint64_t incarnation = 22);
-    // Reads all changes.
+    // Applies all changes in the state service to the cache.
     void sync();
-    // As the service does: a refusal for size is told to the core, anything else is read back and tried again. Returns
-    // the store's answer, or "nothing".
+    // Commits as the service does: reports a rejection for size to the core, and in every case reads the changes and
+    // requests another plan. Returns the store's result, or "nothing" for an empty transaction.
     std::string commit(const state::TransactionBuilder& builder);
-    // One round of planning, and its commit.
+    // Plans one round and commits it. Returns the result of the commit.
     std::string round();
     void run_rounds(int count);
-    // Size of the largest value in the state service, in bytes.
+    // Size in bytes of the largest value in the state service.
     std::size_t largest_value() const;
 
   private:
@@ -52,11 +52,11 @@
     double timeS_ = 200;
 };
 
-// Every machine with its leader, fencing token, address and mark; expects that it is in exactly one shard.
+// The stored entries of all machines by name. Expects each machine in exactly one shard.
 std::map<std::string, state::HostEntry> machines_in(const InMemoryStateStore& store);
-// Some shard whose value is larger than kAnnouncedLimits allow, or null.
+// A shard whose value exceeds kAnnouncedLimits, or null.
 state::HostShard* oversized_shard(state::StateCache& state);
-// The number of tasks that are placed.
+// The number of placed tasks of all jobs in the queue.
 std::size_t placed_tasks(state::StateCache& state);
 
 }  // namespace wellstair::test
