--- a/tests/simulation/cluster_state.cpp
+++ b/tests/simulation/cluster_state.cpp
@@ -4,17 +4,17 @@
 
 namespace wellstair::test {
 
-bool ClusterState::zone_cut(const std::string& zone) const {
-    auto it = zoneCutUntilS.find(zone);
-    return it != zoneCutUntilS.end() && nowS < it->second;
+bool ClusterState::zone_isolated(const std::string& zone) const {
+    auto it = zoneIsolatedUntilS.find(zone);
+    return it != zoneIsolatedUntilS.end() && nowS < it->second;
 }
 
 bool ClusterState::partitioned(const std::string& zone, const std::string& other) const {
-    return zone != other && (zone_cut(zone) || zone_cut(other));
+    return zone != other && (zone_isolated(zone) || zone_isolated(other));
 }
 
 bool ClusterState::has_store(const SimulatedController& controller) const {
-    return nowS >= controller.storeCutUntilS && !zone_cut(controller.settings.location);
+    return nowS >= controller.storeUnreachableUntilS && !zone_isolated(controller.settings.location);
 }
 
 bool ClusterState::accepts_requests(const SimulatedController& controller) const {
@@ -22,7 +22,7 @@
 }
 
 bool ClusterState::can_reach(const SimulatedController& controller, const SimulatedWorker& worker) const {
-    return worker.present && nowS >= controller.workersCutUntilS && nowS >= worker.hungUntilS &&
+    return worker.present && nowS >= controller.workersUnreachableUntilS && nowS >= worker.hungUntilS &&
            !partitioned(controller.settings.location, worker.zone);
 }
 
@@ -76,9 +76,9 @@
 bool ClusterState::all_jobs_settled() const {
     return std::all_of(jobs.begin(), jobs.end(), [&](const auto& entry) {
         const SubmittedJob& job = entry.second;
-        const bool serves =
+        const bool serviceRuns =
             job.spec.service() && !job.cancelRequested && running_tasks(entry.first) == job.spec.taskCount;
-        return !job.accepted || !job.finalPhase.empty() || serves;
+        return !job.accepted || !job.finalPhase.empty() || serviceRuns;
     });
 }
 
--- a/tests/simulation/delayed_deliveries.cpp
+++ b/tests/simulation/delayed_deliveries.cpp
@@ -1,4 +1,4 @@
-// Transactions, commands and heartbeats of a simulated run that arrive late.
+// Delivery of the delayed transactions, commands and copies of heartbeats of a simulated run.
 #include "simulation/simulated_cluster.hpp"
 
 namespace wellstair::test {
@@ -7,7 +7,7 @@
     return !delayedTransactions_.empty() || !delayedCommands_.empty() || !heartbeatCopies_.empty() || !network_.empty();
 }
 
-void SimulatedCluster::deliver_late() {
+void SimulatedCluster::deliver_delayed() {
     apply_delayed_transactions();
     execute_delayed_commands();
     deliver_heartbeat_copies();
@@ -34,7 +34,7 @@
     }
 }
 
-// Commands that reach a machine that hangs wait there until it goes on.
+// Commands that arrive at a hung machine are executed when it continues.
 void SimulatedCluster::execute_delayed(DelayedCommands& delayed) {
     const SentCommands& sent = delayed.sent;
     for (SimulatedWorker& worker : state_.workers) {
@@ -55,9 +55,9 @@
             continue;
         }
         SimulatedController& controller = state_.controllers[it->controller];
-        if (controller.core && state_.nowS >= controller.workersCutUntilS) {
+        if (controller.core && state_.nowS >= controller.workersUnreachableUntilS) {
             update_availability(controller);
-            answer(controller, it->heartbeat);
+            handle_heartbeat(controller, it->heartbeat);
         }
         it = heartbeatCopies_.erase(it);
     }
