--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -42,7 +42,7 @@
     context_.reset_state(own_layout());
     context_.state().onTaskChange = [this](Job& job, std::uint32_t index, const Task& before, const Task& after) {
         reconciler_.on_task_change(job, index, before, after);
-        if (after.host && after.host != before.host) eligibility_.start_seen(after.host->name);
+        if (after.host && after.host != before.host) eligibility_.record_start(after.host->name);
     };
     // The host has a new fencing token, from this controller or another one. Until the host confirms it, commands under
     // an older token may still reach the host.
--- a/src/controller/scale_out.cpp
+++ b/src/controller/scale_out.cpp
@@ -55,29 +55,29 @@
     scheduling::Plan plan = planner_.make_plan(now, scheduling::PlanPurpose::estimate_demand);
     for (const auto& unmet : plan.unmet) unmetDemand_.emplace_back(*unmet.job->spec, unmet.tasks);
     // Headroom: room for the tasks of each job class that usually arrive while a machine boots.
-    placement::Planner headroomPlanner(now.wall, std::move(plan.machines),
-                                       placementModel_.weights(plan.records.size()));
+    placement::Planner headroomPlanner(now.wall, std::move(plan.machines), placementModel_.weights(plan.hosts.size()));
     for (const auto& [name, jobClass] : demand_.by_class()) {
         double windowS = kArrivalWindowLeases * settings_.leaseS;
         double tasks = 0;
         for (const auto& [at, arrivedTasks] : jobClass.arrivals) tasks += arrivedTasks;
         double bootS = 0;
         for (const auto& [typeName, type] : context_.state().machine_types())
-            if (need_of(jobClass.last).fits({type.cores, type.gpus, type.ramGb}))
+            if (need_of(jobClass.latestSpec).fits({type.cores, type.gpus, type.ramGb}))
                 bootS = std::max(bootS, type.startupS);
         auto target = static_cast<std::uint32_t>(std::ceil(tunables_.headroom * tasks * bootS / windowS));
-        const config::Team* team = settings_.team(jobClass.last.team);
-        if (team && team->gpusMax > 0 && jobClass.last.gpus > 0)
-            target = std::min(target, static_cast<std::uint32_t>(team->gpusMax / jobClass.last.gpus));
+        const config::Team* team = settings_.team(jobClass.latestSpec.team);
+        if (team && team->gpusMax > 0 && jobClass.latestSpec.gpus > 0)
+            target = std::min(target, static_cast<std::uint32_t>(team->gpusMax / jobClass.latestSpec.gpus));
         if (!target) continue;
-        auto slots = headroomPlanner.place_batch(placementModel_.probe(jobClass.last, target), true);
+        auto slots =
+            headroomPlanner.place_batch(placementModel_.unconstrained_request(jobClass.latestSpec, target), true);
         if (slots.size() < target)
-            unmetDemand_.emplace_back(jobClass.last, target - static_cast<std::uint32_t>(slots.size()));
+            unmetDemand_.emplace_back(jobClass.latestSpec, target - static_cast<std::uint32_t>(slots.size()));
     }
     // Hosts that neither tasks nor headroom need are idle. The time is kept since when each has been idle.
     std::map<std::string, double> idle;
-    for (std::size_t i = 0; i < plan.records.size(); ++i) {
-        const std::string& name = plan.records[i]->name;
+    for (std::size_t i = 0; i < plan.hosts.size(); ++i) {
+        const std::string& name = plan.hosts[i]->name;
         if (headroomPlanner.machines()[i].allocations.empty())
             idle[name] = idleHosts_.count(name) ? idleHosts_[name] : now.steady;
     }
--- a/src/scheduling/demand_history.cpp
+++ b/src/scheduling/demand_history.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr double kWindowLeases = 4;         // for which arrivals are counted
-constexpr double kNeedLeases = 10;          // for which the need of a team's jobs is remembered
-constexpr std::size_t kMostCounted = 4096;  // jobs remembered as counted before those that are over are forgotten
+constexpr double kArrivalWindowLeases = 4;     // for which arrivals are counted
+constexpr double kNeedRetentionLeases = 10;    // for which the need of a team's jobs is remembered
+constexpr std::size_t kMaxCountedJobs = 4096;  // jobs remembered as counted before those that are over are forgotten
 
 }  // namespace
 
@@ -21,19 +21,19 @@
 }
 
 double DemandHistory::window_s() const {
-    return kWindowLeases * context_.settings().leaseS;
+    return kArrivalWindowLeases * context_.settings().leaseS;
 }
 
 void DemandHistory::record_arrivals(Timestamp now) {
     for (const auto& [order, job] : context_.state().queue()) {
-        if (!counted_.insert(job->id).second) continue;
+        if (!countedJobs_.insert(job->id).second) continue;
         ClassArrivals& jobClass = byClass_[job->spec->jobClass];
-        jobClass.last = *job->spec;
+        jobClass.latestSpec = *job->spec;
         jobClass.arrivals.push_back(
             {now.steady - (now.wall - static_cast<double>(job->submittedAtS)), job->spec->taskCount});
     }
-    if (counted_.size() > kMostCounted)
-        std::erase_if(counted_, [&](const std::string& id) { return !context_.state().job(id); });
+    if (countedJobs_.size() > kMaxCountedJobs)
+        std::erase_if(countedJobs_, [&](const std::string& id) { return !context_.state().job(id); });
     for (auto& [name, jobClass] : byClass_)
         while (!jobClass.arrivals.empty() && now.steady - jobClass.arrivals.front().atS > window_s())
             jobClass.arrivals.pop_front();
@@ -48,11 +48,11 @@
         need.gpus = std::max(need.gpus, spec.gpus * tasks);
         need.lastSeenS = now.steady;
     }
-    const double keptS = kNeedLeases * context_.settings().leaseS;
-    std::erase_if(needs_, [&](const auto& entry) { return now.steady - entry.second.lastSeenS > keptS; });
+    const double retentionS = kNeedRetentionLeases * context_.settings().leaseS;
+    std::erase_if(needs_, [&](const auto& entry) { return now.steady - entry.second.lastSeenS > retentionS; });
 }
 
-Resources DemandHistory::need_above(const std::string& team, int priority) const {
+Resources DemandHistory::need_of_higher_priorities(const std::string& team, int priority) const {
     Resources sum;
     for (const auto& [key, need] : needs_)
         if (key.first == team && key.second < priority) sum.cores += need.cores, sum.gpus += need.gpus;
--- a/src/scheduling/demand_history.hpp
+++ b/src/scheduling/demand_history.hpp
@@ -22,7 +22,7 @@
 };
 
 struct ClassArrivals {
-    wire::JobSpec last;               // the newest job of the class
+    wire::JobSpec latestSpec;         // the newest job of the class
     std::deque<JobArrival> arrivals;  // within DemandHistory::window_s
 
     double tasks() const;
@@ -42,7 +42,7 @@
     // Seconds for which arrivals are counted.
     double window_s() const;
     // Cores and GPUs that the team's next jobs of all priorities above this one take, one job of each.
-    placement::Resources need_above(const std::string& team, int priority) const;
+    placement::Resources need_of_higher_priorities(const std::string& team, int priority) const;
 
   private:
     using TeamPriority = std::pair<std::string, int>;  // a lower number is a higher priority
@@ -55,7 +55,7 @@
     const leadership::ControllerContext& context_;
     std::map<std::string, ClassArrivals> byClass_;
     std::map<TeamPriority, JobNeed> needs_;
-    std::set<std::string> counted_;  // jobs
+    std::set<std::string> countedJobs_;  // jobs
 };
 
 }  // namespace wellstair::scheduling
--- a/src/scheduling/held_back_jobs.hpp
+++ b/src/scheduling/held_back_jobs.hpp
@@ -19,17 +19,17 @@
     void record(const state::Job& job, Timestamp now);
     // Forgets jobs that have begun, are over, or have not been held back for a heartbeat interval. A moment without
     // any room, between two tasks, does not count as such.
-    void forget_released(Timestamp now);
+    void remove_released(Timestamp now);
 
-    bool too_long(const std::string& job, Timestamp now) const;
-    bool any_too_long(Timestamp now) const;
+    bool held_too_long(const std::string& job, Timestamp now) const;
+    bool any_held_too_long(Timestamp now) const;
 
   private:
     // Steady times in seconds.
     struct HeldBack {
         double sinceS, lastSeenS;
     };
-    bool too_long(const HeldBack& heldBack, Timestamp now) const;
+    bool held_too_long(const HeldBack& heldBack, Timestamp now) const;
 
     const leadership::ControllerContext& context_;
     std::unordered_map<std::string, HeldBack> heldBack_;
--- a/src/scheduling/host_eligibility.cpp
+++ b/src/scheduling/host_eligibility.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // An expected start is overdue after the heartbeat interval divided by this.
-constexpr double kOverdueDivisor = 6;
+constexpr double kOverdueStartDivisor = 6;
 // Heartbeat intervals after which a host whose start is overdue is tried again.
 constexpr double kRetryIntervals = 4;
 // A host's registration is new for the heartbeat interval divided by this.
@@ -44,13 +44,13 @@
     if (since == unstartedSinceS_.end()) return false;
     const double intervalS = context_.settings().heartbeatIntervalS;
     const double ageS = now.steady - since->second;
-    return ageS > intervalS / kOverdueDivisor && ageS < kRetryIntervals * intervalS;
+    return ageS > intervalS / kOverdueStartDivisor && ageS < kRetryIntervals * intervalS;
 }
 
 void HostEligibility::expect_start(const std::string& host, Timestamp now) {
-    auto [since, fresh] = unstartedSinceS_.try_emplace(host, now.steady);
+    auto [since, inserted] = unstartedSinceS_.try_emplace(host, now.steady);
     const double retryAfterS = kRetryIntervals * context_.settings().heartbeatIntervalS;
-    if (!fresh && now.steady - since->second > retryAfterS) since->second = now.steady;
+    if (!inserted && now.steady - since->second > retryAfterS) since->second = now.steady;
 }
 
 }  // namespace wellstair::scheduling
--- a/src/scheduling/host_eligibility.hpp
+++ b/src/scheduling/host_eligibility.hpp
@@ -24,7 +24,7 @@
     // A start is planned for this host of a peer, and the peer is the one to carry it out.
     void expect_start(const std::string& host, Timestamp now);
     // Some task was started on the host.
-    void start_seen(const std::string& host) { unstartedSinceS_.erase(host); }
+    void record_start(const std::string& host) { unstartedSinceS_.erase(host); }
 
   private:
     bool own_host_eligible(const state::HostRecord& host, Timestamp now) const;
--- a/src/scheduling/job_ageing.cpp
+++ b/src/scheduling/job_ageing.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 // Leases after which a waiting job has aged.
-constexpr double kBatchLeases = 7;
-constexpr double kBegunLeases = 15;    // an array that has begun, for what is left of it
-constexpr double kLateLeases = 8;      // after which it is too late already
-constexpr std::int64_t kLateTurn = 4;  // each lease of this number belongs to those that are too late
+constexpr double kBatchAgeingLeases = 7;
+constexpr double kStartedBatchAgeingLeases = 15;  // an array that has begun, for what is left of it
+constexpr double kOverdueLeases = 8;              // after which it is too late already
+constexpr std::int64_t kOverdueTurnPeriod = 4;    // each lease of this number belongs to those that are too late
 // The part of the capacity that gets free which aged jobs may take.
 constexpr double kGangShare = 0.7;
 constexpr double kBatchShare = 0.25;
@@ -28,11 +28,13 @@
     std::vector<QueuedJob*> aged;
     for (QueuedJob& queued : queue) {
         const Job& job = *queued.job;
-        const bool begun = job.placed + job.done > 0;
-        if (begun && (job.gang() || job.service())) continue;
-        const double leases = begun ? kBegunLeases : job.multi_task_gang() ? kGangLeases : kBatchLeases;
+        const bool started = job.placed + job.done > 0;
+        if (started && (job.gang() || job.service())) continue;
+        const double leases = started                 ? kStartedBatchAgeingLeases
+                              : job.multi_task_gang() ? kGangAgeingLeases
+                                                      : kBatchAgeingLeases;
         if (now.wall - job.submittedAtS < leases * context_.settings().leaseS) continue;
-        if (has_team_room(*job.spec)) aged.push_back(&queued);
+        if (fits_team_limit(*job.spec)) aged.push_back(&queued);
     }
     return aged;
 }
@@ -41,23 +43,23 @@
     std::vector<QueuedJob*> aged = aged_jobs(queue, now);
     if (aged.empty()) return;
     const double leaseS = context_.settings().leaseS;
-    const bool lateTurn = static_cast<std::int64_t>(now.wall / leaseS) % kLateTurn == 0;
+    const bool overdueTurn = static_cast<std::int64_t>(now.wall / leaseS) % kOverdueTurnPeriod == 0;
     const auto key = [&](const QueuedJob* queued) {
-        const bool late = now.wall - queued->job->submittedAtS > kLateLeases * leaseS;
-        return std::pair(late && !lateTurn, queued->job->submissionRevision);
+        const bool overdue = now.wall - queued->job->submittedAtS > kOverdueLeases * leaseS;
+        return std::pair(overdue && !overdueTurn, queued->job->submissionRevision);
     };
     std::sort(aged.begin(), aged.end(), [&](const QueuedJob* a, const QueuedJob* b) { return key(a) < key(b); });
     NextStart next = nextStart_;
     for (QueuedJob* queued : aged) {
-        if (next.onMachinesS > now.steady) break;
-        if (next.ofTeamS[queued->job->spec->team] > now.steady) continue;
+        if (next.clusterS > now.steady) break;
+        if (next.byTeamS[queued->job->spec->team] > now.steady) continue;
         queued->aged = true;
-        use_share(next, *queued, queued->job->open(), now);
+        charge_share(next, *queued, queued->job->open(), now);
     }
     std::stable_partition(queue.begin(), queue.end(), [](const QueuedJob& queued) { return queued.aged; });
 }
 
-bool JobAgeing::has_team_room(const wire::JobSpec& spec) const {
+bool JobAgeing::fits_team_limit(const wire::JobSpec& spec) const {
     const config::Team* team = context_.settings().team(spec.team);
     auto record = context_.state().teams().find(spec.team);
     if (!team || record == context_.state().teams().end()) return true;
@@ -69,17 +71,17 @@
     return fits(team->cpusMax, used.cores, spec.cores) && fits(team->gpusMax, used.gpus, spec.gpus);
 }
 
-void JobAgeing::use_share(NextStart& next, const QueuedJob& queued, std::uint32_t tasks, Timestamp now) const {
+void JobAgeing::charge_share(NextStart& next, const QueuedJob& queued, std::uint32_t tasks, Timestamp now) const {
     const wire::JobSpec& spec = *queued.job->spec;
     const double turnoverS =
         turnover_s(spec, context_.settings()) / (queued.job->multi_task_gang() ? kGangShare : kBatchShare);
-    const auto use = [&](double& nextS, double share) { nextS = std::max(nextS, now.steady) + share * turnoverS; };
-    use(next.onMachinesS, queued.share * tasks / queued.job->open());
+    const auto charge = [&](double& nextS, double share) { nextS = std::max(nextS, now.steady) + share * turnoverS; };
+    charge(next.clusterS, queued.capacityShare * tasks / queued.job->open());
     const config::Team* team = context_.settings().team(spec.team);
-    double ofTeam = 0;
-    if (team && team->cpusMax > 0) ofTeam = std::max(ofTeam, spec.cores * tasks / team->cpusMax);
-    if (team && team->gpusMax > 0) ofTeam = std::max(ofTeam, spec.gpus * tasks / team->gpusMax);
-    use(next.ofTeamS[spec.team], ofTeam);
+    double teamShare = 0;
+    if (team && team->cpusMax > 0) teamShare = std::max(teamShare, spec.cores * tasks / team->cpusMax);
+    if (team && team->gpusMax > 0) teamShare = std::max(teamShare, spec.gpus * tasks / team->gpusMax);
+    charge(next.byTeamS[spec.team], teamShare);
 }
 
 }  // namespace wellstair::scheduling
--- a/src/scheduling/job_ageing.hpp
+++ b/src/scheduling/job_ageing.hpp
@@ -18,7 +18,7 @@
   public:
     // Leases after which a wide gang that waits has aged. It needs that sooner than an array, which begins with room
     // for one task; a gang needs room for all of its tasks at once.
-    static constexpr double kGangLeases = 5;
+    static constexpr double kGangAgeingLeases = 5;
 
     explicit JobAgeing(const leadership::ControllerContext& context) : context_(context) {}
 
@@ -28,23 +28,23 @@
     void put_aged_first(std::vector<QueuedJob>& queue, Timestamp now) const;
     // So many tasks of an aged job start: uses up a part of the share.
     void record_start(const QueuedJob& queued, std::uint32_t tasks, Timestamp now) {
-        use_share(nextStart_, queued, tasks, now);
+        charge_share(nextStart_, queued, tasks, now);
     }
 
   private:
     // Steady times in seconds from which on the next aged job may go first.
     struct NextStart {
-        double onMachinesS = 0;
-        std::map<std::string, double> ofTeamS;
+        double clusterS = 0;
+        std::map<std::string, double> byTeamS;
     };
 
     std::vector<QueuedJob*> aged_jobs(std::vector<QueuedJob>& queue, Timestamp now) const;
     // Whether the tasks that the job is to start at once, all of a gang or one of a batch, fit below the team's limit.
-    bool has_team_room(const wire::JobSpec& spec) const;
+    bool fits_team_limit(const wire::JobSpec& spec) const;
     // What is scarce turns over once in about a run time, be it the machines or what a team may use: the part of each
     // that the tasks take is their part of what gets free in so many seconds. Both are counted: by the machines alone,
     // aged jobs of a team at its limit would take all of that limit, and none of its others would be in time.
-    void use_share(NextStart& next, const QueuedJob& queued, std::uint32_t tasks, Timestamp now) const;
+    void charge_share(NextStart& next, const QueuedJob& queued, std::uint32_t tasks, Timestamp now) const;
 
     const leadership::ControllerContext& context_;
     NextStart nextStart_;
--- a/src/scheduling/placement_model.cpp
+++ b/src/scheduling/placement_model.cpp
@@ -26,13 +26,13 @@
 // Heartbeat intervals.
 constexpr double kSameHostPenaltyIntervals = 2;
 // A task that is overdue by its estimate is expected to run for its estimate divided by this.
-constexpr double kOverdueDivisor = 5;
+constexpr double kOverdueRemainingDivisor = 5;
 // A stop reaches a task within about the heartbeat interval divided by this.
 constexpr double kStopDelayDivisor = 2;
 // Tasks that are placed on a machine in one plan, mostly.
-constexpr std::size_t kSpareHolds = 2;
+constexpr std::size_t kSpareAllocations = 2;
 // What ends at once still takes some time.
-constexpr double kLeastDurationS = 0.1;
+constexpr double kMinDurationS = 0.1;
 
 }  // namespace
 
@@ -66,11 +66,11 @@
     ClusterSnapshot cluster;
     for (const auto& [name, host] : context_.state().hosts())
         if (eligibility_.eligible(*host, now) && context_.state().machine_type(host->machineType))
-            cluster.records.push_back(host.get());
-    std::sort(cluster.records.begin(), cluster.records.end(),
+            cluster.hosts.push_back(host.get());
+    std::sort(cluster.hosts.begin(), cluster.hosts.end(),
               [](const HostRecord* a, const HostRecord* b) { return a->name < b->name; });
-    cluster.machines.reserve(cluster.records.size());
-    for (const HostRecord* host : cluster.records) cluster.machines.push_back(machine_of(*host, now));
+    cluster.machines.reserve(cluster.hosts.size());
+    for (const HostRecord* host : cluster.hosts) cluster.machines.push_back(machine_of(*host, now));
     return cluster;
 }
 
@@ -89,19 +89,19 @@
     // Where two controllers see the image caches differently, each would leave a task to the other's host. A slight
     // preference for one's own hosts makes both act instead, and the state service lets one of them win.
     if (!ledHere) machine.penaltyS = context_.settings().heartbeatIntervalS / kPeerHostPenaltyDivisor;
-    machine.allocations.reserve(host.placed.size() + kSpareHolds);
+    machine.allocations.reserve(host.placed.size() + kSpareAllocations);
     const HostTracker* tracker = ledHere ? hosts_.find(host.name) : nullptr;
-    for (const TaskRef& ref : host.placed) machine.allocations.push_back(hold_of(ref, machine, tracker, now));
+    for (const TaskRef& ref : host.placed) machine.allocations.push_back(allocation_of(ref, machine, tracker, now));
     return machine;
 }
 
-placement::Allocation PlacementModel::hold_of(const TaskRef& ref, const Machine& machine, const HostTracker* tracker,
-                                              Timestamp now) const {
+placement::Allocation PlacementModel::allocation_of(const TaskRef& ref, const Machine& machine,
+                                                    const HostTracker* tracker, Timestamp now) const {
     const wire::JobSpec& spec = *ref.job->spec;
     const double intervalS = context_.settings().heartbeatIntervalS;
     const Task task = ref.job->task(ref.index, context_.state().chunk_size());
     double until = task.placedAtS + spec.imageGb / machine.fetchGbPerS + occupied_s(spec);
-    until = std::max(until, now.wall + std::max(intervalS, spec.estimatedDurationS / kOverdueDivisor));
+    until = std::max(until, now.wall + std::max(intervalS, spec.estimatedDurationS / kOverdueRemainingDivisor));
     const bool preempted = tracker && tracker->evictions.count({ref.job->id, ref.index});
     if (preempted) until = now.wall + spec.checkpointWriteS + intervalS / kStopDelayDivisor;
     return {now.wall - 1, until, need_of(spec)};
@@ -113,7 +113,7 @@
     request.need = need_of(spec);
     request.image = spec.image;
     request.imageGb = spec.imageGb;
-    request.estimatedDurationS = std::max(occupied_s(spec), kLeastDurationS);
+    request.estimatedDurationS = std::max(occupied_s(spec), kMinDurationS);
     request.antiAffine = spec.service() && spec.taskCount > 1;
     request.coLocated = spec.coLocated;
     request.spread = spec.spread;
@@ -137,7 +137,7 @@
     request.tasksPerZone.assign(tasks.begin(), tasks.end());
 }
 
-Request PlacementModel::probe(const wire::JobSpec& spec, std::uint32_t count) const {
+Request PlacementModel::unconstrained_request(const wire::JobSpec& spec, std::uint32_t count) const {
     Job job;
     job.spec = spec;
     Request request = request_of(job);
--- a/src/scheduling/placement_model.hpp
+++ b/src/scheduling/placement_model.hpp
@@ -18,7 +18,7 @@
 
 // All hosts that can take tasks, sorted by name.
 struct ClusterSnapshot {
-    std::vector<state::HostRecord*> records;
+    std::vector<state::HostRecord*> hosts;
     std::vector<placement::Machine> machines;  // by the same index
 };
 
@@ -32,7 +32,7 @@
     // What the job asks for, without `count` and `replicaMachines`. Valid for the node pools known by now.
     placement::Request request_of(const state::Job& job) const;
     // Tasks like those of `spec`, without constraints among them: to see where further ones would find room.
-    placement::Request probe(const wire::JobSpec& spec, std::uint32_t count) const;
+    placement::Request unconstrained_request(const wire::JobSpec& spec, std::uint32_t count) const;
     // The weights of LEM (PAPER section IV, algorithm 5) for so many machines.
     placement::Weights weights(std::size_t machines) const;
 
@@ -44,8 +44,8 @@
 
     placement::Machine machine_of(const state::HostRecord& host, Timestamp now);
     // What the task holds on the machine; `tracker` is that of a host that is led here.
-    placement::Allocation hold_of(const state::TaskRef& ref, const placement::Machine& machine,
-                                  const workers::HostTracker* tracker, Timestamp now) const;
+    placement::Allocation allocation_of(const state::TaskRef& ref, const placement::Machine& machine,
+                                        const workers::HostTracker* tracker, Timestamp now) const;
     void add_tasks_per_zone(const state::Job& job, placement::Request& request) const;
     std::uint32_t zone_id(const std::string& zone);
     std::uint32_t node_pool_id(const std::string& machineType, const std::string& zone, bool spot);
--- a/src/scheduling/plan.hpp
+++ b/src/scheduling/plan.hpp
@@ -11,7 +11,7 @@
 namespace wellstair::scheduling {
 
 // A time of day that no plan reaches.
-inline constexpr double kNever = 1e18;
+inline constexpr double kFarFutureS = 1e18;
 
 // What a plan is made for.
 enum class PlanPurpose {
@@ -33,14 +33,14 @@
 struct UnmetDemand {
     state::Job* job = nullptr;
     std::uint32_t tasks = 0;
-    bool overQuota = false;    // beyond its team's guarantee
-    double soonestS = kNever;  // time of day of the first promised start
+    bool overQuota = false;               // beyond its team's guarantee
+    double earliestStartS = kFarFutureS;  // time of day of the first promised start
 };
 
 struct Plan {
     std::vector<PlannedStart> starts;
     std::vector<UnmetDemand> unmet;
-    std::vector<state::HostRecord*> records;   // by machine, sorted by name
+    std::vector<state::HostRecord*> hosts;     // by machine, sorted by name
     std::vector<placement::Machine> machines;  // with what the plan holds on them
 };
 
--- a/src/scheduling/plan_builder.cpp
+++ b/src/scheduling/plan_builder.cpp
@@ -21,20 +21,20 @@
 
 // Promises are made to the first jobs of the queue only, until so many machines have been looked at in one plan; behind
 // them, tasks start where they disturb no promise.
-constexpr std::uint64_t kPromiseLooks = 4096;
-constexpr std::uint32_t kMostTasksOfJob = 256;  // of one batch or service in one plan
+constexpr std::uint64_t kMaxPromiseExaminations = 4096;
+constexpr std::uint32_t kMaxTasksPerJob = 256;  // of one batch or service in one plan
 constexpr double kUnlimited = 1e12;             // room of a team without a limit
 // Room is kept for what arrives in so many heartbeat intervals, for so many tasks of a job class at most: whichever is
 // more, the number or the number of machines divided by the divisor.
-constexpr double kKeptRoomIntervals = 2;
-constexpr double kKeptRoomTasks = 8;
-constexpr double kKeptRoomMachinesDivisor = 16;
+constexpr double kReserveIntervals = 2;
+constexpr double kReserveTasks = 8;
+constexpr double kReserveMachinesDivisor = 16;
 // Controllers that take turns at a job follow one another after the heartbeat interval divided by this.
-constexpr double kTurnDivisor = 16;
+constexpr double kTurnIntervalDivisor = 16;
 // Seconds for which the controller that is responsible for a batch has it to itself.
-constexpr double kFirstTurnS = 1;
+constexpr double kOwnerTurnS = 1;
 
-bool begun(const Job& job) {
+bool has_started(const Job& job) {
     return job.placed + job.done > 0;
 }
 
@@ -45,57 +45,58 @@
       settings_(inputs.context.settings()),
       purpose_(purpose),
       now_(now),
-      planner_(now.wall, std::move(cluster.machines), inputs.model.weights(cluster.records.size())) {
-    plan_.records = std::move(cluster.records);
+      planner_(now.wall, std::move(cluster.machines), inputs.model.weights(cluster.hosts.size())) {
+    plan_.hosts = std::move(cluster.hosts);
 }
 
 Plan PlanBuilder::build() {
-    compute_team_room();
+    compute_team_headroom();
     inputs_.demand.record_needs(now_);
-    if (starting()) inputs_.heldBack.forget_released(now_);
-    keepRoom_ = !inputs_.heldBack.any_too_long(now_);
+    if (starting()) inputs_.heldBack.remove_released(now_);
+    reserveForArrivals_ = !inputs_.heldBack.any_held_too_long(now_);
     for (const QueuedJob& queued : inputs_.queueOrder.ordered_queue(planner_.machines(), now_)) {
-        keep_room_for_arrivals(queued);
+        reserve_for_arrivals(queued);
         place_job(queued);
     }
     plan_.machines = planner_.machines();
     return std::move(plan_);
 }
 
-void PlanBuilder::compute_team_room() {
+void PlanBuilder::compute_team_headroom() {
     const auto& records = inputs_.context.state().teams();
     for (const config::Team& team : settings_.teams) {
         auto record = records.find(team.name);
         const state::QuotaAmount used = record == records.end() ? state::QuotaAmount{} : record->second.total;
         const double cores = used.cores / 1000.0;
         const double gpus = used.gpus / 1000.0;
-        const Resources room{team.cpusMax > 0 ? team.cpusMax - cores : kUnlimited,
-                             team.gpusMax > 0 ? team.gpusMax - gpus : kUnlimited, kUnlimited};
-        teamRoom_[team.name] = {room, room};
+        const Resources headroom{team.cpusMax > 0 ? team.cpusMax - cores : kUnlimited,
+                                 team.gpusMax > 0 ? team.gpusMax - gpus : kUnlimited, kUnlimited};
+        teamHeadroom_[team.name] = {headroom, headroom};
     }
 }
 
-void PlanBuilder::keep_room_for_arrivals(const QueuedJob& queued) {
-    if (!keepRoom_ || queued.aged) return;
+void PlanBuilder::reserve_for_arrivals(const QueuedJob& queued) {
+    if (!reserveForArrivals_ || queued.aged) return;
     for (const auto& [name, jobClass] : inputs_.demand.by_class()) {
-        const bool higher = static_cast<int>(jobClass.last.priority) < queued.priority;
-        if (!higher || jobClass.arrivals.empty() || !keptClasses_.insert(name).second) continue;
-        keep_room_for(jobClass);
+        const bool higher = static_cast<int>(jobClass.latestSpec.priority) < queued.priority;
+        if (!higher || jobClass.arrivals.empty() || !reservedClasses_.insert(name).second) continue;
+        reserve_for_class(jobClass);
     }
 }
 
-void PlanBuilder::keep_room_for(const ClassArrivals& jobClass) {
-    const double soon =
-        std::ceil(jobClass.tasks() * kKeptRoomIntervals * settings_.heartbeatIntervalS / inputs_.demand.window_s());
-    const double most = std::max(kKeptRoomTasks, static_cast<double>(plan_.records.size()) / kKeptRoomMachinesDivisor);
-    const Request request = inputs_.model.probe(jobClass.last, static_cast<std::uint32_t>(std::min(soon, most)));
+void PlanBuilder::reserve_for_class(const ClassArrivals& jobClass) {
+    const double expected =
+        std::ceil(jobClass.tasks() * kReserveIntervals * settings_.heartbeatIntervalS / inputs_.demand.window_s());
+    const double maxTasks = std::max(kReserveTasks, static_cast<double>(plan_.hosts.size()) / kReserveMachinesDivisor);
+    const Request request = inputs_.model.unconstrained_request(
+        jobClass.latestSpec, static_cast<std::uint32_t>(std::min(expected, maxTasks)));
     std::map<std::size_t, std::uint32_t> tasks;  // by machine
     for (const Slot& slot : planner_.place_batch(request, true)) ++tasks[slot.machine];
-    const Resources one = need_of(jobClass.last);
-    for (const auto& [machine, number] : tasks) {
+    const Resources perTask = need_of(jobClass.latestSpec);
+    for (const auto& [machine, count] : tasks) {
         Resources free = placement::free_at(planner_.machines()[machine], now_.wall);
-        for (std::uint32_t k = 0; k < number; ++k) free += one;
-        keptRoom_.push_back({planner_.machines()[machine].nodePool, free});
+        for (std::uint32_t k = 0; k < count; ++k) free += perTask;
+        arrivalReserves_.push_back({planner_.machines()[machine].nodePool, free});
     }
 }
 
@@ -104,27 +105,28 @@
     if (!may_start(job)) return;
     const wire::JobSpec& spec = *job.spec;
     const bool gang = job.multi_task_gang();
-    TeamRoom& room = teamRoom_[spec.team];
-    const TaskRange range = startable_tasks(queued, room);
-    if (range.most < range.least) {
-        if (starting() && held_back_by_team(job, room, range.least)) inputs_.heldBack.record(job, now_);
+    TeamHeadroom& headroom = teamHeadroom_[spec.team];
+    const TaskRange range = startable_tasks(queued, headroom);
+    if (range.max < range.min) {
+        if (starting() && held_back_by_team_priorities(job, headroom, range.min)) inputs_.heldBack.record(job, now_);
         return;
     }
-    collect_open_tasks(job, range.most);
+    collect_open_tasks(job, range.max);
     Request request = request_for(job);
     request.count = gang ? spec.taskCount : static_cast<std::uint32_t>(openTasks_.size());
     if (request.count == 0) return;
-    const bool startOnly = planner_.machines_examined() > kPromiseLooks && !queued.aged;
+    const bool startOnly = planner_.machines_examined() > kMaxPromiseExaminations && !queued.aged;
     const Started started =
         record_starts(job, gang ? planner_.place_gang(request, startOnly) : planner_.place_batch(request, startOnly));
-    room.left = {room.left.cores - started.tasks * spec.cores, room.left.gpus - started.tasks * spec.gpus,
-                 room.left.ramGb};
+    headroom.remaining = {headroom.remaining.cores - started.tasks * spec.cores,
+                          headroom.remaining.gpus - started.tasks * spec.gpus, headroom.remaining.ramGb};
     if (starting()) {
         if (queued.aged && started.tasks > 0) inputs_.queueOrder.record_aged_start(queued, started.tasks, now_);
-        if (!begun(job) && !started.tasks && held_back_by_kept_room(request)) inputs_.heldBack.record(job, now_);
+        if (!has_started(job) && !started.tasks && held_back_by_reserve(request)) inputs_.heldBack.record(job, now_);
     }
     const bool complete = started.tasks == request.count;
-    if (!complete) plan_.unmet.push_back({&job, request.count - started.tasks, queued.overQuota, started.soonestS});
+    if (!complete)
+        plan_.unmet.push_back({&job, request.count - started.tasks, queued.overQuota, started.earliestStartS});
     apply_reservation(job, complete);
 }
 
@@ -145,38 +147,39 @@
     const auto own = stable_hash(settings_.member, job.id);
     for (const config::MemberAddress& peer : settings_.members)
         if (peer.name != job.owner && stable_hash(peer.name, job.id) < own) ++turn;
-    const double afterS = turn * (settings_.heartbeatIntervalS / kTurnDivisor);
+    const double afterS = turn * (settings_.heartbeatIntervalS / kTurnIntervalDivisor);
     // All replicas of a service are placed by its responsible controller, on any host; by others only if it does not.
     if (job.service()) return inputs_.jobHistories.open_since(job) + settings_.heartbeatIntervalS + afterS;
-    return static_cast<double>(job.submittedAtS) + kFirstTurnS + afterS;
+    return static_cast<double>(job.submittedAtS) + kOwnerTurnS + afterS;
 }
 
-Resources PlanBuilder::need_kept_from(const QueuedJob& queued) const {
-    if (queued.aged || inputs_.heldBack.too_long(queued.job->id, now_)) return {};
-    return inputs_.demand.need_above(queued.job->spec->team, queued.priority);
+Resources PlanBuilder::need_withheld_from(const QueuedJob& queued) const {
+    if (queued.aged || inputs_.heldBack.held_too_long(queued.job->id, now_)) return {};
+    return inputs_.demand.need_of_higher_priorities(queued.job->spec->team, queued.priority);
 }
 
-PlanBuilder::TaskRange PlanBuilder::startable_tasks(const QueuedJob& queued, const TeamRoom& room) const {
+PlanBuilder::TaskRange PlanBuilder::startable_tasks(const QueuedJob& queued, const TeamHeadroom& headroom) const {
     const wire::JobSpec& spec = *queued.job->spec;
-    const std::uint32_t fit = placement::fit_count(room.left - need_kept_from(queued), quota_need_of(spec));
+    const std::uint32_t fit =
+        placement::fit_count(headroom.remaining - need_withheld_from(queued), quota_need_of(spec));
     if (queued.job->multi_task_gang()) return {spec.taskCount, fit < spec.taskCount ? 0 : spec.taskCount};
-    return {1, std::min(fit, kMostTasksOfJob)};
+    return {1, std::min(fit, kMaxTasksPerJob)};
 }
 
-bool PlanBuilder::held_back_by_team(const Job& job, const TeamRoom& room, std::uint32_t least) {
-    if (begun(job) || !room.beforePlan) return false;
-    return placement::fit_count(*room.beforePlan, quota_need_of(*job.spec)) >= least;
+bool PlanBuilder::held_back_by_team_priorities(const Job& job, const TeamHeadroom& headroom, std::uint32_t minTasks) {
+    if (has_started(job) || !headroom.beforePlan) return false;
+    return placement::fit_count(*headroom.beforePlan, quota_need_of(*job.spec)) >= minTasks;
 }
 
-void PlanBuilder::collect_open_tasks(const Job& job, std::uint32_t most) {
+void PlanBuilder::collect_open_tasks(const Job& job, std::uint32_t maxTasks) {
     const std::uint32_t chunkSize = inputs_.context.state().chunk_size();
     openTasks_.clear();
-    for (std::uint32_t c = 0; c < job.chunks.size() && openTasks_.size() < most; ++c) {
+    for (std::uint32_t c = 0; c < job.chunks.size() && openTasks_.size() < maxTasks; ++c) {
         const state::Chunk& chunk = job.chunks[c];
         const std::uint32_t first = c * chunkSize;
         const std::uint32_t size = std::min(chunkSize, job.spec->taskCount - first);
         if (!chunk.tasks.empty() && chunk.done + chunk.placed == size) continue;
-        for (std::uint32_t i = 0; i < size && openTasks_.size() < most; ++i)
+        for (std::uint32_t i = 0; i < size && openTasks_.size() < maxTasks; ++i)
             if (chunk.tasks.empty() || chunk.tasks[i].state == TaskState::open) openTasks_.push_back(first + i);
     }
 }
@@ -198,39 +201,39 @@
 }
 
 std::optional<std::size_t> PlanBuilder::machine_index(const std::string& host) const {
-    auto record = std::lower_bound(plan_.records.begin(), plan_.records.end(), host,
+    auto record = std::lower_bound(plan_.hosts.begin(), plan_.hosts.end(), host,
                                    [](const HostRecord* a, const std::string& name) { return a->name < name; });
-    if (record == plan_.records.end() || (*record)->name != host) return std::nullopt;
-    return static_cast<std::size_t>(record - plan_.records.begin());
+    if (record == plan_.hosts.end() || (*record)->name != host) return std::nullopt;
+    return static_cast<std::size_t>(record - plan_.hosts.begin());
 }
 
 PlanBuilder::Started PlanBuilder::record_starts(Job& job, const std::vector<Slot>& slots) {
     const std::uint32_t chunkSize = inputs_.context.state().chunk_size();
     const bool gang = job.multi_task_gang();
     Started started;
-    PlannedStart whole{&job, {}, 0};  // of a gang
+    PlannedStart gangStart{&job, {}, 0};  // of a gang
     for (const Slot& slot : slots) {
         if (slot.start > now_.wall) {
-            started.soonestS = std::min(started.soonestS, slot.start);
+            started.earliestStartS = std::min(started.earliestStartS, slot.start);
             continue;
         }
         const std::uint32_t index = openTasks_[started.tasks++];
-        HostRecord* host = plan_.records[slot.machine];
+        HostRecord* host = plan_.hosts[slot.machine];
         const std::uint32_t attempt = job.task(index, chunkSize).attempt + 1;
         if (gang) {
-            whole.tasks.emplace_back(index, host);
-            whole.attempt = std::max(whole.attempt, attempt);
+            gangStart.tasks.emplace_back(index, host);
+            gangStart.attempt = std::max(gangStart.attempt, attempt);
         } else {
             plan_.starts.push_back({&job, {{index, host}}, attempt});
         }
     }
-    if (gang && whole.tasks.size() == job.spec->taskCount) plan_.starts.push_back(std::move(whole));
+    if (gang && gangStart.tasks.size() == job.spec->taskCount) plan_.starts.push_back(std::move(gangStart));
     return started;
 }
 
-bool PlanBuilder::held_back_by_kept_room(const Request& request) const {
-    return std::any_of(keptRoom_.begin(), keptRoom_.end(), [&](const KeptRoom& kept) {
-        return request.allowed[kept.nodePool] && request.need.fits(kept.free);
+bool PlanBuilder::held_back_by_reserve(const Request& request) const {
+    return std::any_of(arrivalReserves_.begin(), arrivalReserves_.end(), [&](const ArrivalReserve& reserve) {
+        return request.allowed[reserve.nodePool] && request.need.fits(reserve.free);
     });
 }
 
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -18,15 +18,15 @@
 namespace {
 
 // Jobs for which one plan preempts: the next plan sees what is preempted for them.
-constexpr int kMostJobs = 8;
+constexpr int kMaxJobsPerPlan = 8;
 // Heartbeat intervals within which a preempted task is gone, beside the time that it takes to write its checkpoint.
 constexpr double kStopIntervals = 2;
 
 // What a task loses when it is preempted: a service fetches its image again, a task with checkpoints writes one, and
 // any other runs again from its start.
-double lost_s(const wire::JobSpec& spec, const Machine& machine, double ranS) {
+double lost_work_s(const wire::JobSpec& spec, const Machine& machine, double runtimeS) {
     if (spec.service()) return spec.imageGb / machine.fetchGbPerS;
-    return spec.checkpointIntervalS > 0 ? spec.checkpointWriteS : ranS;
+    return spec.checkpointIntervalS > 0 ? spec.checkpointWriteS : runtimeS;
 }
 
 }  // namespace
@@ -47,9 +47,9 @@
     Pass pass{plan, now, queueOrder_.jobs_over_quota(), {}};
     int jobs = 0;
     for (const UnmetDemand& unmet : plan.unmet) {
-        const bool startsSoon = unmet.soonestS - now.wall < context_.settings().heartbeatIntervalS;
+        const bool startsSoon = unmet.earliestStartS - now.wall < context_.settings().heartbeatIntervalS;
         if (startsSoon || reservations_.count(unmet.job->id)) continue;
-        if (++jobs > kMostJobs) break;
+        if (++jobs > kMaxJobsPerPlan) break;
         std::vector<Place> chosen = choose_places(pass, unmet, candidate_places(pass, unmet));
         drop_costly(pass, unmet, chosen);
         if (!chosen.empty()) execute(pass, unmet, chosen);
@@ -60,26 +60,26 @@
     const wire::JobSpec& spec = *unmet.job->spec;
     const wire::JobSpec& victim = *task.job->spec;
     const bool lowerPriority = victim.priority > spec.priority;
-    const bool borrowed =
+    const bool borrowsCapacity =
         !unmet.overQuota && victim.team != spec.team && pass.overQuota.count(task.job) && !victim.service();
-    if (!lowerPriority && !borrowed) return false;
+    if (!lowerPriority && !borrowsCapacity) return false;
     return task.job != unmet.job && !task.job->multi_task_gang() && !pass.preempted.count({task.job, task.index});
 }
 
 double Preemption::preemption_cost_s(const TaskRef& task, const Machine& machine, Timestamp now) const {
     const wire::JobSpec& spec = *task.job->spec;
     const double intervalS = context_.settings().heartbeatIntervalS;
-    const double ranS = now.wall - task.job->task(task.index, context_.state().chunk_size()).placedAtS;
-    const double leftS = occupied_s(spec) - ranS;
+    const double runtimeS = now.wall - task.job->task(task.index, context_.state().chunk_size()).placedAtS;
+    const double leftS = occupied_s(spec) - runtimeS;
     // A task that is about to end is preempted last.
     const double aboutToEndS = leftS < intervalS ? spec.estimatedDurationS : 0;
-    return lost_s(spec, machine, ranS) + aboutToEndS + intervalS;
+    return lost_work_s(spec, machine, runtimeS) + aboutToEndS + intervalS;
 }
 
 void Preemption::collect_victims(const Pass& pass, const UnmetDemand& unmet, std::size_t machine,
                                  std::vector<Victim>& victims) const {
     victims.clear();
-    for (const TaskRef& task : pass.plan.records[machine]->placed)
+    for (const TaskRef& task : pass.plan.hosts[machine]->placed)
         if (may_preempt(pass, unmet, task))
             victims.push_back({task, preemption_cost_s(task, pass.plan.machines[machine], pass.now)});
     std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) { return a.costS < b.costS; });
@@ -112,11 +112,11 @@
     if (victims.empty() && !placement::fit_count(free, need)) return;
     const double cachedAt = machine.cache ? machine.cache->ready_at(spec.image, pass.now.wall) : -1;
     const double fetchS = cachedAt < 0 ? spec.imageGb / machine.fetchGbPerS : std::max(0.0, cachedAt - pass.now.wall);
-    std::size_t next = 0;
-    for (std::uint32_t n = 0; n < unmet.tasks; ++n) {
+    std::size_t nextVictim = 0;
+    for (std::uint32_t count = 0; count < unmet.tasks; ++count) {
         Place place{machineIndex, fetchS, {}};
-        while (!need.fits(free) && next < victims.size()) {
-            const Victim& victim = victims[next++];
+        while (!need.fits(free) && nextVictim < victims.size()) {
+            const Victim& victim = victims[nextVictim++];
             free += need_of(*victim.task.job->spec);
             place.costS += victim.costS;
             place.victims.push_back(victim.task);
@@ -141,17 +141,17 @@
     std::vector<Place> chosen;
     std::map<std::uint32_t, std::vector<Place*>> byZone;
     for (Place& place : places) {
-        auto& ofZone = byZone[pass.plan.machines[place.machine].zone];
-        ofZone.push_back(&place);
-        if (ofZone.size() < unmet.tasks) continue;
-        for (Place* enough : ofZone) chosen.push_back(std::move(*enough));
+        auto& zonePlaces = byZone[pass.plan.machines[place.machine].zone];
+        zonePlaces.push_back(&place);
+        if (zonePlaces.size() < unmet.tasks) continue;
+        for (Place* zonePlace : zonePlaces) chosen.push_back(std::move(*zonePlace));
         break;
     }
     return chosen;
 }
 
 void Preemption::drop_costly(const Pass& pass, const UnmetDemand& unmet, std::vector<Place>& chosen) {
-    while (!chosen.empty() && pass.now.wall + chosen.back().costS > unmet.soonestS) {
+    while (!chosen.empty() && pass.now.wall + chosen.back().costS > unmet.earliestStartS) {
         if (unmet.job->multi_task_gang())
             chosen.clear();
         else
@@ -163,7 +163,7 @@
     const double stopS = kStopIntervals * context_.settings().heartbeatIntervalS;
     Reservation reservation{{}, pass.now.wall};
     for (const Place& place : chosen) {
-        const HostRecord& host = *pass.plan.records[place.machine];
+        const HostRecord& host = *pass.plan.hosts[place.machine];
         reservation.hosts.push_back(host.name);
         for (const TaskRef& victim : place.victims) {
             pass.preempted.insert({victim.job, victim.index});
@@ -175,11 +175,11 @@
     reservations_[unmet.job->id] = std::move(reservation);
 }
 
-void Preemption::preempt_task(const TaskRef& victim, const HostRecord& host, const state::Job& beneficiary,
+void Preemption::preempt_task(const TaskRef& victim, const HostRecord& host, const state::Job& preemptor,
                               Timestamp now) {
     HostTracker& tracker = hosts_.track(host.name);
     if (!tracker.evictions.try_emplace({victim.job->id, victim.index}, now.steady).second) return;
-    spdlog::info("preempt {}/{} on {} for {}", victim.job->id, victim.index, host.name, beneficiary.id);
+    spdlog::info("preempt {}/{} on {} for {}", victim.job->id, victim.index, host.name, preemptor.id);
     schedule_.mark_due(host);
 }
 
--- a/src/scheduling/preemption.hpp
+++ b/src/scheduling/preemption.hpp
@@ -82,7 +82,7 @@
     static void drop_costly(const Pass& pass, const UnmetDemand& unmet, std::vector<Place>& chosen);
     // Preempts the victims on hosts that are led here, and keeps the room.
     void execute(Pass& pass, const UnmetDemand& unmet, const std::vector<Place>& chosen);
-    void preempt_task(const state::TaskRef& victim, const state::HostRecord& host, const state::Job& beneficiary,
+    void preempt_task(const state::TaskRef& victim, const state::HostRecord& host, const state::Job& preemptor,
                       Timestamp now);
 
     const leadership::ControllerContext& context_;
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -23,10 +23,10 @@
 
 constexpr double kTolerance = 1e-9;  // of amounts of resources
 // A running task counts for its estimate divided by this at least.
-constexpr double kLeastRemainingDivisor = 5;
+constexpr double kMinRemainingDivisor = 5;
 
 // Room by job class: the jobs of a class are mostly of one shape.
-using RoomByClass = std::map<std::string, FreeCapacityCurve>;
+using CurveByClass = std::map<std::string, FreeCapacityCurve>;
 
 // Puts what stands at these places of the queue into this order.
 void rearrange(std::vector<QueuedJob>& queue, const std::vector<std::size_t>& places,
@@ -73,7 +73,7 @@
         return std::pair(a.priority, a.overQuota) < std::pair(b.priority, b.overQuota);
     });
     order_for_machines(queue, machines, now);
-    order_within_limits(queue, now);
+    order_within_team_limits(queue, now);
     put_lost_replicas_first(queue);
     ageing_.put_aged_first(queue, now);
     return queue;
@@ -109,44 +109,47 @@
 
 void QueueOrder::order_for_machines(std::vector<QueuedJob>& queue, const std::vector<Machine>& machines,
                                     Timestamp now) const {
-    RoomByClass rooms;
+    CurveByClass curves;
     double ahead = 0;  // what jobs of earlier groups take of all machines
     for (std::size_t first = 0, last; first < queue.size(); first = last) {
         std::vector<DueJob> jobs;
-        std::vector<const FreeCapacityCurve*> room;
+        std::vector<const FreeCapacityCurve*> jobCurves;
         std::vector<std::size_t> places;
-        double wanted = ahead;
-        bool lacking = false;
+        double demand = ahead;
+        bool overloaded = false;
         for (last = first; last < queue.size() && same_group(queue[first], queue[last]); ++last) {
             QueuedJob& queued = queue[last];
             const wire::JobSpec& spec = *queued.job->spec;
-            auto at = rooms.find(spec.jobClass);
-            if (at == rooms.end())
-                at = rooms
-                         .try_emplace(spec.jobClass,
-                                      FreeCapacityCurve(machines, model_.request_of(*queued.job), now.wall))
-                         .first;
-            const FreeCapacityCurve& curve = at->second;
-            room.push_back(&curve);
+            auto entry = curves.find(spec.jobClass);
+            if (entry == curves.end())
+                entry = curves
+                            .try_emplace(spec.jobClass,
+                                         FreeCapacityCurve(machines, model_.request_of(*queued.job), now.wall))
+                            .first;
+            const FreeCapacityCurve& curve = entry->second;
+            jobCurves.push_back(&curve);
             places.push_back(last);
-            queued.share = curve.total_tasks() ? static_cast<double>(queued.job->open()) / curve.total_tasks() : 0;
+            queued.capacityShare =
+                curve.total_tasks() ? static_cast<double>(queued.job->open()) / curve.total_tasks() : 0;
             const double waitedS = now.wall - static_cast<double>(queued.job->submittedAtS);
-            DueJob due{queued.share, 0, due_times(spec, queued.overQuota)};
-            for (double& dueS : due.dueTimes) dueS -= spec.estimatedDurationS + waitedS;  // to start by
-            due.dueTimes.push_back(JobAgeing::kGangLeases * context_.settings().leaseS - waitedS);
-            jobs.push_back(std::move(due));
-            wanted += queued.share;
-            lacking = lacking || wanted > curve.fraction_free_within(0);
+            DueJob dueJob{queued.capacityShare, 0, due_times(spec, queued.overQuota)};
+            for (double& dueS : dueJob.dueTimes) dueS -= spec.estimatedDurationS + waitedS;  // to start by
+            dueJob.dueTimes.push_back(JobAgeing::kGangAgeingLeases * context_.settings().leaseS - waitedS);
+            jobs.push_back(std::move(dueJob));
+            demand += queued.capacityShare;
+            overloaded = overloaded || demand > curve.fraction_free_within(0);
         }
-        if (lacking && jobs.size() > 1) {
-            const auto capacity = [&](std::size_t job, double dueS) { return room[job]->fraction_free_within(dueS); };
+        if (overloaded && jobs.size() > 1) {
+            const auto capacity = [&](std::size_t job, double dueS) {
+                return jobCurves[job]->fraction_free_within(dueS);
+            };
             rearrange(queue, places, placement::order_by_due(jobs, capacity, ahead));
         }
-        ahead = wanted;
+        ahead = demand;
     }
 }
 
-void QueueOrder::order_within_limits(std::vector<QueuedJob>& queue, Timestamp now) const {
+void QueueOrder::order_within_team_limits(std::vector<QueuedJob>& queue, Timestamp now) const {
     using TeamPriority = std::pair<std::string, int>;
     std::map<TeamPriority, std::vector<std::size_t>> groups;
     for (std::size_t i = 0; i < queue.size(); ++i)
@@ -154,13 +157,13 @@
             groups[{queue[i].job->spec->team, queue[i].priority}].push_back(i);
     for (const auto& [key, places] : groups) {
         const config::Team* team = context_.settings().team(key.first);
-        if (team && places.size() >= 2) order_within_limit(queue, places, *team, now);
+        if (team && places.size() >= 2) order_within_team_limit(queue, places, *team, now);
     }
 }
 
-void QueueOrder::order_within_limit(std::vector<QueuedJob>& queue, const std::vector<std::size_t>& places,
-                                    const config::Team& team, Timestamp now) const {
-    double wanted = 0;
+void QueueOrder::order_within_team_limit(std::vector<QueuedJob>& queue, const std::vector<std::size_t>& places,
+                                         const config::Team& team, Timestamp now) const {
+    double demand = 0;
     const bool byGpu = team.gpusMax > 0 && queue[places[0]].job->spec->gpus > 0;
     const double limit = byGpu ? team.gpusMax : team.cpusMax;
     std::vector<DueJob> jobs;
@@ -168,12 +171,13 @@
         const Job& job = *queue[place].job;
         const wire::JobSpec& spec = *job.spec;
         const double perTask = byGpu ? spec.gpus : spec.cores;
-        wanted += perTask * (spec.taskCount - job.done);
-        DueJob due{remaining_s(job, now) * perTask, spec.estimatedDurationS, due_times(spec, queue[place].overQuota)};
-        for (double& dueS : due.dueTimes) dueS -= now.wall - job.submittedAtS;
-        jobs.push_back(std::move(due));
+        demand += perTask * (spec.taskCount - job.done);
+        DueJob dueJob{remaining_s(job, now) * perTask, spec.estimatedDurationS,
+                      due_times(spec, queue[place].overQuota)};
+        for (double& dueS : dueJob.dueTimes) dueS -= now.wall - job.submittedAtS;
+        jobs.push_back(std::move(dueJob));
     }
-    if (limit <= 0 || wanted <= limit) return;
+    if (limit <= 0 || demand <= limit) return;
     const auto capacity = [&](std::size_t, double dueS) { return limit * dueS; };
     rearrange(queue, places, placement::order_by_due(jobs, capacity));
 }
@@ -185,7 +189,7 @@
         if (!chunk.placed) continue;
         for (const Task& task : chunk.tasks)
             if (task.state == TaskState::placed)
-                remaining += std::max(runS / kLeastRemainingDivisor, runS - (now.wall - task.placedAtS));
+                remaining += std::max(runS / kMinRemainingDivisor, runS - (now.wall - task.placedAtS));
     }
     return remaining;
 }
--- a/src/scheduling/queue_order.hpp
+++ b/src/scheduling/queue_order.hpp
@@ -37,10 +37,10 @@
                             Timestamp now) const;
     // Where a team asks for more than its limit, the order among its jobs of one priority follows what can still be in
     // time. For all others submission order stays.
-    void order_within_limits(std::vector<QueuedJob>& queue, Timestamp now) const;
+    void order_within_team_limits(std::vector<QueuedJob>& queue, Timestamp now) const;
     // The same for the jobs of one team and priority, which stand at these places of the queue.
-    void order_within_limit(std::vector<QueuedJob>& queue, const std::vector<std::size_t>& places,
-                            const config::Team& team, Timestamp now) const;
+    void order_within_team_limit(std::vector<QueuedJob>& queue, const std::vector<std::size_t>& places,
+                                 const config::Team& team, Timestamp now) const;
     // A service that has lost a replica goes before new work of its priority: its users notice at once.
     void put_lost_replicas_first(std::vector<QueuedJob>& queue) const;
     // Seconds of a team's limit that the job's open and running tasks still take, without their number of cores.
--- a/src/scheduling/scheduling_planner.cpp
+++ b/src/scheduling/scheduling_planner.cpp
@@ -38,7 +38,7 @@
     const Plan plan = make_plan(now, PlanPurpose::start_tasks);
     inputs_.preemption.preempt(plan, now);
     for (const PlannedStart& start : plan.starts) {
-        if (!starts_here(start)) {
+        if (!starts_locally(start)) {
             expect_start_by_peer(start, now);
             continue;
         }
@@ -49,11 +49,11 @@
     }
 }
 
-bool SchedulingPlanner::starts_here(const PlannedStart& start) const {
-    const bool wide = start.tasks.size() > 1;
-    if (!wide && inputs_.context.leads_host(start.tasks.front().second)) return true;
+bool SchedulingPlanner::starts_locally(const PlannedStart& start) const {
+    const bool multiTask = start.tasks.size() > 1;
+    if (!multiTask && inputs_.context.leads_host(start.tasks.front().second)) return true;
     // Gangs and services are placed on hosts of any leader.
-    return (wide || start.job->service()) && inputs_.context.responsible(*start.job);
+    return (multiTask || start.job->service()) && inputs_.context.responsible(*start.job);
 }
 
 void SchedulingPlanner::expect_start_by_peer(const PlannedStart& start, Timestamp now) {
--- a/src/scheduling/scheduling_planner.hpp
+++ b/src/scheduling/scheduling_planner.hpp
@@ -28,14 +28,14 @@
     // Planning is the costly part of a round.
     bool plan_due(std::uint64_t newestJob, Timestamp now) const;
     // Whether this controller makes the planned start.
-    bool starts_here(const PlannedStart& start) const;
+    bool starts_locally(const PlannedStart& start) const;
     // Remembers that a peer is expected to make the start.
     void expect_start_by_peer(const PlannedStart& start, Timestamp now);
 
     PlanningInputs inputs_;
     leadership::RoundSchedule& schedule_;
     double plannedAtS_ = -1e9;            // steady time of the last plan
-    double nextTurnS_ = kNever;           // time of day of the next turn of this controller at some job
+    double nextTurnS_ = kFarFutureS;      // time of day of the next turn of this controller at some job
     std::uint64_t newestPlannedJob_ = 0;  // its place in submission order
 };
 
