--- a/src/scheduling/host_eligibility.cpp
+++ b/src/scheduling/host_eligibility.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// An expected start is overdue after the heartbeat interval divided by this.
-constexpr double kOverdueDivisor = 6;
-// Heartbeat intervals after which a host whose start is overdue is tried again.
+// A planned start is overdue after the heartbeat interval divided by this.
+constexpr double kOverdueStartDivisor = 6;
+// Heartbeat intervals after which a host with an overdue start is retried.
 constexpr double kRetryIntervals = 4;
-// A host's registration is new for the heartbeat interval divided by this.
+// No task is planned for a peer's host within the heartbeat interval divided by this after its registration.
 constexpr double kNewRegistrationDivisor = 2;
 
 }  // namespace
@@ -35,7 +35,7 @@
     const peers::ReceivedStatus* leader = peers_.find(host.leader);
     if (leader && leader->age(now) < intervalS && leader->status.is_unusable(host.name)) return false;
     if (start_overdue(host.name, now)) return false;
-    // Just registered: its leader waits for the host to confirm the fencing token.
+    // The leader of a host that has just registered still waits for the host to confirm the fencing token.
     return now.wall - host.registeredS > intervalS / kNewRegistrationDivisor;
 }
 
@@ -44,13 +44,13 @@
     if (since == unstartedSinceS_.end()) return false;
     const double intervalS = context_.settings().heartbeatIntervalS;
     const double ageS = now.steady - since->second;
-    return ageS > intervalS / kOverdueDivisor && ageS < kRetryIntervals * intervalS;
+    return ageS > intervalS / kOverdueStartDivisor && ageS < kRetryIntervals * intervalS;
 }
 
 void HostEligibility::expect_start(const std::string& host, Timestamp now) {
-    auto [since, fresh] = unstartedSinceS_.try_emplace(host, now.steady);
+    auto [since, inserted] = unstartedSinceS_.try_emplace(host, now.steady);
     const double retryAfterS = kRetryIntervals * context_.settings().heartbeatIntervalS;
-    if (!fresh && now.steady - since->second > retryAfterS) since->second = now.steady;
+    if (!inserted && now.steady - since->second > retryAfterS) since->second = now.steady;
 }
 
 }  // namespace wellstair::scheduling
