--- a/src/scheduling/demand_history.cpp
+++ b/src/scheduling/demand_history.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr double kArrivalWindowLeases = 4;     // for which arrivals are counted
-constexpr double kNeedRetentionLeases = 10;    // for which the need of a team's jobs is remembered
-constexpr std::size_t kMaxCountedJobs = 4096;  // jobs remembered as counted before those that are over are forgotten
+constexpr double kArrivalWindowLeases = 4;     // window in which arrivals are counted
+constexpr double kNeedRetentionLeases = 10;    // for which a need is kept after it was last seen
+constexpr std::size_t kMaxCountedJobs = 4096;  // above this, ids of finished jobs are removed
 
 }  // namespace
 
--- a/src/scheduling/duration_estimates.hpp
+++ b/src/scheduling/duration_estimates.hpp
@@ -1,5 +1,5 @@
-// How long tasks are expected to run. A service has no estimate (`estimatedDurationS` is 0): it runs until it is
-// cancelled, and must never be taken for a task that ends at once.
+// Expected durations of tasks. A service runs until it is cancelled and has no estimate (`estimatedDurationS` is 0),
+// which must not be read as a task that ends at once.
 #pragma once
 
 #include "config/settings.hpp"
@@ -8,15 +8,16 @@
 
 namespace wellstair::scheduling {
 
-// For placement: seconds for which a task holds its resources.
+// Seconds for which a task is expected to hold its resources; used for placement.
 inline double occupied_s(const wire::JobSpec& spec) {
     return spec.service() ? placement::kUnboundedDurationS : spec.estimatedDurationS;
 }
 
-// For the order under overload: leases for which the resources of a service's replica count as used. Other work waits
-// about as long at most before it is put first for its age; without a bound, a single service would outweigh all else.
+// Duration, in leases, that a service's replica counts for when jobs are ordered under overload. It is about the
+// longest wait of other jobs before ageing moves them to the front; without a bound, one service would outweigh all
+// other work.
 inline constexpr double kServiceTurnoverLeases = 7;
-// The same in seconds, for any task.
+// Seconds of resource use that a task counts for in the queue order and in the share of aged jobs.
 inline double turnover_s(const wire::JobSpec& spec, const config::Settings& settings) {
     return spec.service() ? kServiceTurnoverLeases * settings.leaseS : spec.estimatedDurationS;
 }
--- a/src/scheduling/held_back_jobs.cpp
+++ b/src/scheduling/held_back_jobs.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kMaxHeldBackLeases = 2;  // that a job may be held back
+constexpr double kMaxHeldBackLeases = 2;  // for which a job may be held back
 
 }  // namespace
 
--- a/src/scheduling/held_back_jobs.hpp
+++ b/src/scheduling/held_back_jobs.hpp
@@ -1,7 +1,7 @@
-// Jobs that would run but for room that is kept free for other jobs.
+// Tracks jobs that could run now if no capacity were reserved for other jobs.
 //
-// Keeping room is a preference, and may not cost a job more than two leases. Owns the notes on these jobs.
-// Single-threaded, free of I/O.
+// Reservations for expected jobs are a preference and may delay a job by two leases at most. Not thread-safe; does no
+// I/O.
 #pragma once
 
 #include <string>
@@ -15,17 +15,18 @@
   public:
     explicit HeldBackJobs(const leadership::ControllerContext& context) : context_(context) {}
 
-    // The job, which has not begun, would start now if no room were kept from it.
+    // Records that the job, which has not started, would start now if no capacity were reserved for others.
     void record(const state::Job& job, Timestamp now);
-    // Forgets jobs that have begun, are over, or have not been held back for a heartbeat interval. A moment without
-    // any room, between two tasks, does not count as such.
+    // Removes jobs that have started or ended, or that were last held back more than a heartbeat interval ago. The
+    // interval bridges moments between two tasks in which there is no free capacity at all.
     void remove_released(Timestamp now);
 
+    // Whether the job has been held back for longer than the limit.
     bool held_too_long(const std::string& job, Timestamp now) const;
     bool any_held_too_long(Timestamp now) const;
 
   private:
-    // Steady times in seconds.
+    // Steady times, in seconds, of the first and the latest record.
     struct HeldBack {
         double sinceS, lastSeenS;
     };
--- a/src/scheduling/host_eligibility.cpp
+++ b/src/scheduling/host_eligibility.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// An expected start is overdue after the heartbeat interval divided by this.
+// A planned start is overdue after the heartbeat interval divided by this.
 constexpr double kOverdueStartDivisor = 6;
-// Heartbeat intervals after which a host whose start is overdue is tried again.
+// Heartbeat intervals after which a host with an overdue start is retried.
 constexpr double kRetryIntervals = 4;
-// A host's registration is new for the heartbeat interval divided by this.
+// No task is planned for a peer's host within the heartbeat interval divided by this after its registration.
 constexpr double kNewRegistrationDivisor = 2;
 
 }  // namespace
@@ -35,7 +35,7 @@
     const peers::ReceivedStatus* leader = peers_.find(host.leader);
     if (leader && leader->age(now) < intervalS && leader->status.is_unusable(host.name)) return false;
     if (start_overdue(host.name, now)) return false;
-    // Just registered: its leader waits for the host to confirm the fencing token.
+    // The leader of a host that has just registered still waits for the host to confirm the fencing token.
     return now.wall - host.registeredS > intervalS / kNewRegistrationDivisor;
 }
 
--- a/src/scheduling/host_eligibility.hpp
+++ b/src/scheduling/host_eligibility.hpp
@@ -1,6 +1,6 @@
-// Which hosts can take new tasks now, by what this controller and its peers know of them.
+// Determines which hosts can take new tasks now, from the state of this controller and the status of its peers.
 //
-// Owns the notes on hosts of peers where a planned start does not happen. Single-threaded, free of I/O.
+// Tracks hosts of peers on which a planned start has not been carried out. Not thread-safe; does no I/O.
 #pragma once
 
 #include <string>
@@ -18,24 +18,25 @@
                     const peers::PeerTable& peers)
         : context_(context), hosts_(hosts), peers_(peers) {}
 
-    // Whether new tasks may be planned for the host, whoever leads it.
+    // Whether new tasks may be planned for the host, whichever controller leads it.
     bool eligible(const state::HostRecord& host, Timestamp now) const;
 
-    // A start is planned for this host of a peer, and the peer is the one to carry it out.
+    // Records that a start was planned on this host, which the peer that leads it has to carry out.
     void expect_start(const std::string& host, Timestamp now);
-    // Some task was started on the host.
+    // Records that a task was started on the host, so that no start is outstanding.
     void record_start(const std::string& host) { unstartedSinceS_.erase(host); }
 
   private:
     bool own_host_eligible(const state::HostRecord& host, Timestamp now) const;
     bool peer_host_eligible(const state::HostRecord& host, Timestamp now) const;
-    // Whether the host's leader has not carried out a planned start for a while.
+    // Whether the host's leader has left a planned start undone for too long. False again after some intervals, so that
+    // the host is retried.
     bool start_overdue(const std::string& host, Timestamp now) const;
 
     const leadership::ControllerContext& context_;
     const workers::HostTable& hosts_;
     const peers::PeerTable& peers_;
-    std::unordered_map<std::string, double> unstartedSinceS_;  // by host: steady time in seconds
+    std::unordered_map<std::string, double> unstartedSinceS_;  // by host: steady time of the planned start, in seconds
 };
 
 }  // namespace wellstair::scheduling
--- a/src/scheduling/job_ageing.cpp
+++ b/src/scheduling/job_ageing.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-// Leases after which a waiting job has aged.
+// Leases after which a waiting job has aged; kGangAgeingLeases for a gang of several tasks.
 constexpr double kBatchAgeingLeases = 7;
-constexpr double kStartedBatchAgeingLeases = 15;  // an array that has begun, for what is left of it
-constexpr double kOverdueLeases = 8;              // after which it is too late already
-constexpr std::int64_t kOverdueTurnPeriod = 4;    // each lease of this number belongs to those that are too late
-// The part of the capacity that gets free which aged jobs may take.
+constexpr double kStartedBatchAgeingLeases = 15;  // the remaining tasks of a batch that has started
+constexpr double kOverdueLeases = 8;              // wait after which a job counts as too late already
+constexpr std::int64_t kOverdueTurnPeriod = 4;    // jobs that are too late compete equally in one lease of so many
+// Fraction of the capacity that becomes free which aged jobs may take.
 constexpr double kGangShare = 0.7;
 constexpr double kBatchShare = 0.25;
-constexpr double kTolerance = 1e-9;  // of amounts of resources
+constexpr double kTolerance = 1e-9;  // for rounding errors in sums of resources
 
 }  // namespace
 
--- a/src/scheduling/job_needs.hpp
+++ b/src/scheduling/job_needs.hpp
@@ -1,4 +1,4 @@
-// What a job's tasks need, and where they may run: pure functions of the job's description.
+// Resource needs and placement constraints of a job's tasks: pure functions of the job specification.
 #pragma once
 
 #include <algorithm>
@@ -9,12 +9,12 @@
 
 namespace wellstair::scheduling {
 
-// What one task takes.
+// Resources that one task needs.
 inline placement::Resources need_of(const wire::JobSpec& spec) {
     return {spec.cores, spec.gpus, spec.ramGb};
 }
 
-// What one task takes of its team's limit, which counts cores and GPUs alone.
+// Share of its team's limit that one task uses; limits count cores and GPUs only.
 inline placement::Resources quota_need_of(const wire::JobSpec& spec) {
     return {spec.cores, spec.gpus, 0};
 }
--- a/src/scheduling/placement_model.cpp
+++ b/src/scheduling/placement_model.cpp
@@ -18,20 +18,20 @@
 
 namespace {
 
-// Penalties in LEM's score, as parts of the heartbeat interval: it is divided by these.
+// Penalties in LEM's score: the heartbeat interval divided by these.
 constexpr double kGpuHostPenaltyDivisor = 3;
 constexpr double kEmptyHostPenaltyDivisor = 2;
 constexpr double kSameZonePenaltyDivisor = 2;
 constexpr double kPeerHostPenaltyDivisor = 10;
-// Heartbeat intervals.
+// Penalty in LEM's score, in heartbeat intervals.
 constexpr double kSameHostPenaltyIntervals = 2;
-// A task that is overdue by its estimate is expected to run for its estimate divided by this.
+// A task that has run for longer than estimated is expected to run on for its estimate divided by this.
 constexpr double kOverdueRemainingDivisor = 5;
-// A stop reaches a task within about the heartbeat interval divided by this.
+// A stop command takes effect on a task within about the heartbeat interval divided by this.
 constexpr double kStopDelayDivisor = 2;
-// Tasks that are placed on a machine in one plan, mostly.
+// Allocations reserved for tasks that the plan adds to a machine; rarely more.
 constexpr std::size_t kSpareAllocations = 2;
-// What ends at once still takes some time.
+// Lower bound of a task's duration: even a task estimated at zero takes some time.
 constexpr double kMinDurationS = 0.1;
 
 }  // namespace
@@ -86,8 +86,8 @@
         options_.fetchGbPerS > 0 ? options_.fetchGbPerS : context_.state().fetch_rate(host.machineType);
     machine.cache = &host.cache;
     machine.busy = !host.placed.empty();
-    // Where two controllers see the image caches differently, each would leave a task to the other's host. A slight
-    // preference for one's own hosts makes both act instead, and the state service lets one of them win.
+    // Two controllers with different views of the image caches could each leave a task to the other's host. A small
+    // penalty for hosts of peers makes both act instead; the state service accepts one of the starts.
     if (!ledHere) machine.penaltyS = context_.settings().heartbeatIntervalS / kPeerHostPenaltyDivisor;
     machine.allocations.reserve(host.placed.size() + kSpareAllocations);
     const HostTracker* tracker = ledHere ? hosts_.find(host.name) : nullptr;
--- a/src/scheduling/plan.hpp
+++ b/src/scheduling/plan.hpp
@@ -1,4 +1,4 @@
-// The result of planning: what starts now, and what cannot.
+// The result of planning: tasks that start now, and demand that cannot be met now.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 
 namespace wellstair::scheduling {
 
-// A time of day that no plan reaches.
+// A time of day, in seconds, later than any plan: nothing is scheduled or promised.
 inline constexpr double kFarFutureS = 1e18;
 
-// What a plan is made for.
+// The purpose of a plan.
 enum class PlanPurpose {
-    start_tasks,      // as far as it is this controller's turn, with notes for the next plans
-    estimate_demand,  // everything, to see what lacks room
+    start_tasks,      // skips jobs that are left to other controllers for now; updates what later plans read
+    estimate_demand,  // all jobs, to find the demand that lacks capacity
 };
 
-// The index of a task and the host it is to run on, as TransactionBuilder::place takes them.
+// Index of a task and the host that it is to run on, as TransactionBuilder::place takes them.
 using PlannedTask = std::pair<std::uint32_t, state::HostRecord*>;
 
-// Tasks that start together: all tasks of a wide gang, or a single task.
+// Tasks that start together: all tasks of a gang, or a single task.
 struct PlannedStart {
     state::Job* job = nullptr;
     std::vector<PlannedTask> tasks;
@@ -37,11 +37,12 @@
     double earliestStartS = kFarFutureS;  // time of day of the first promised start
 };
 
+// Starts, unmet demand, and the machines as they are after all starts and promises of the plan.
 struct Plan {
     std::vector<PlannedStart> starts;
     std::vector<UnmetDemand> unmet;
     std::vector<state::HostRecord*> hosts;     // by machine, sorted by name
-    std::vector<placement::Machine> machines;  // with what the plan holds on them
+    std::vector<placement::Machine> machines;  // with the allocations of the plan; index as in `hosts`
 };
 
 }  // namespace wellstair::scheduling
--- a/src/scheduling/plan_builder.cpp
+++ b/src/scheduling/plan_builder.cpp
@@ -19,19 +19,20 @@
 
 namespace {
 
-// Promises are made to the first jobs of the queue only, until so many machines have been looked at in one plan; behind
-// them, tasks start where they disturb no promise.
+// Bounds the cost of a plan: once this many machines have been examined, no later starts are promised any more, and
+// jobs further back only start now, where they delay no promised start. Aged jobs are exempt.
 constexpr std::uint64_t kMaxPromiseExaminations = 4096;
-constexpr std::uint32_t kMaxTasksPerJob = 256;  // of one batch or service in one plan
-constexpr double kUnlimited = 1e12;             // room of a team without a limit
-// Room is kept for what arrives in so many heartbeat intervals, for so many tasks of a job class at most: whichever is
-// more, the number or the number of machines divided by the divisor.
+constexpr std::uint32_t kMaxTasksPerJob = 256;  // of one batch or service, per plan
+constexpr double kUnlimited = 1e12;             // headroom of a team without a limit
+// Capacity is reserved for what usually arrives within this many heartbeat intervals. Per job class it is bounded by
+// kReserveTasks tasks or by the number of machines divided by kReserveMachinesDivisor, whichever is more.
 constexpr double kReserveIntervals = 2;
 constexpr double kReserveTasks = 8;
 constexpr double kReserveMachinesDivisor = 16;
-// Controllers that take turns at a job follow one another after the heartbeat interval divided by this.
+// Interval between the turns of controllers that place the same job one after another: the heartbeat interval divided
+// by this.
 constexpr double kTurnIntervalDivisor = 16;
-// Seconds for which the controller that is responsible for a batch has it to itself.
+// Seconds for which only the controller that is responsible for a batch places it.
 constexpr double kOwnerTurnS = 1;
 
 bool has_started(const Job& job) {
@@ -148,7 +149,8 @@
     for (const config::MemberAddress& peer : settings_.members)
         if (peer.name != job.owner && stable_hash(peer.name, job.id) < own) ++turn;
     const double afterS = turn * (settings_.heartbeatIntervalS / kTurnIntervalDivisor);
-    // All replicas of a service are placed by its responsible controller, on any host; by others only if it does not.
+    // The responsible controller places all replicas of a service, on hosts of any leader. Other controllers do so only
+    // if replicas remain open.
     if (job.service()) return inputs_.jobHistories.open_since(job) + settings_.heartbeatIntervalS + afterS;
     return static_cast<double>(job.submittedAtS) + kOwnerTurnS + afterS;
 }
@@ -211,7 +213,7 @@
     const std::uint32_t chunkSize = inputs_.context.state().chunk_size();
     const bool gang = job.multi_task_gang();
     Started started;
-    PlannedStart gangStart{&job, {}, 0};  // of a gang
+    PlannedStart gangStart{&job, {}, 0};  // used for a gang only
     for (const Slot& slot : slots) {
         if (slot.start > now_.wall) {
             started.earliestStartS = std::min(started.earliestStartS, slot.start);
--- a/src/scheduling/planning_inputs.hpp
+++ b/src/scheduling/planning_inputs.hpp
@@ -1,4 +1,4 @@
-// The components that plans are made from: each plan reads all of them and adds notes to some.
+// The components that a plan is computed from. Planning reads all of them and updates the non-const ones.
 #pragma once
 
 #include "leadership/controller_context.hpp"
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-// Jobs for which one plan preempts: the next plan sees what is preempted for them.
+// Jobs that one plan preempts for. The next plan takes the tasks preempted for them into account and goes on.
 constexpr int kMaxJobsPerPlan = 8;
-// Heartbeat intervals within which a preempted task is gone, beside the time that it takes to write its checkpoint.
+// Heartbeat intervals within which a preempted task stops, in addition to the time to write its checkpoint.
 constexpr double kStopIntervals = 2;
 
-// What a task loses when it is preempted: a service fetches its image again, a task with checkpoints writes one, and
-// any other runs again from its start.
+// Seconds that a task loses when it is preempted: a service fetches its image again, a task with checkpoints writes
+// one, and any other task runs again from its beginning.
 double lost_work_s(const wire::JobSpec& spec, const Machine& machine, double runtimeS) {
     if (spec.service()) return spec.imageGb / machine.fetchGbPerS;
     return spec.checkpointIntervalS > 0 ? spec.checkpointWriteS : runtimeS;
@@ -71,7 +71,7 @@
     const double intervalS = context_.settings().heartbeatIntervalS;
     const double runtimeS = now.wall - task.job->task(task.index, context_.state().chunk_size()).placedAtS;
     const double leftS = occupied_s(spec) - runtimeS;
-    // A task that is about to end is preempted last.
+    // Raises the cost of tasks that are about to end, so that they are preempted last.
     const double aboutToEndS = leftS < intervalS ? spec.estimatedDurationS : 0;
     return lost_work_s(spec, machine, runtimeS) + aboutToEndS + intervalS;
 }
@@ -106,7 +106,7 @@
     const Machine& machine = pass.plan.machines[machineIndex];
     const bool gang = unmet.job->multi_task_gang();
     const Resources need = need_of(spec);
-    // Without victims, only a gang has a use for what is free: its other places may take victims.
+    // Without victims the free capacity is of use to a gang only, which may need victims for its other places.
     if (victims.empty() && !gang) return;
     Resources free = placement::free_at(machine, pass.now.wall);
     if (victims.empty() && !placement::fit_count(free, need)) return;
@@ -179,7 +179,8 @@
                               Timestamp now) {
     HostTracker& tracker = hosts_.track(host.name);
     if (!tracker.evictions.try_emplace({victim.job->id, victim.index}, now.steady).second) return;
-    spdlog::info("preempt {}/{} on {} for {}", victim.job->id, victim.index, host.name, preemptor.id);
+    spdlog::info("preempting task {}/{} on host {} in favour of job {}", victim.job->id, victim.index, host.name,
+                 preemptor.id);
     schedule_.mark_due(host);
 }
 
--- a/src/scheduling/queue_order.cpp
+++ b/src/scheduling/queue_order.cpp
@@ -21,14 +21,14 @@
 
 namespace {
 
-constexpr double kTolerance = 1e-9;  // of amounts of resources
-// A running task counts for its estimate divided by this at least.
+constexpr double kTolerance = 1e-9;  // for rounding errors in sums of resources
+// The remaining duration of a running task is at least its estimate divided by this.
 constexpr double kMinRemainingDivisor = 5;
 
-// Room by job class: the jobs of a class are mostly of one shape.
+// Free capacity by job class: the jobs of a class mostly have the same resource needs.
 using CurveByClass = std::map<std::string, FreeCapacityCurve>;
 
-// Puts what stands at these places of the queue into this order.
+// Reorders the jobs at these positions of the queue; `order` holds indices into `places`.
 void rearrange(std::vector<QueuedJob>& queue, const std::vector<std::size_t>& places,
                const std::vector<std::size_t>& order) {
     std::vector<QueuedJob> sorted;
@@ -37,7 +37,7 @@
     for (std::size_t k = 0; k < places.size(); ++k) queue[places[k]] = sorted[k];
 }
 
-// Whether the jobs have one priority and are both within or both beyond the guarantees.
+// Whether the jobs have the same priority and are both within or both beyond their guarantees.
 bool same_group(const QueuedJob& a, const QueuedJob& b) {
     return a.priority == b.priority && a.overQuota == b.overQuota;
 }
@@ -80,7 +80,7 @@
 }
 
 void QueueOrder::put_lost_replicas_first(std::vector<QueuedJob>& queue) const {
-    // The queue is in the order of priorities by now.
+    // The queue is sorted by priority at this point.
     for (auto first = queue.begin(); first != queue.end();) {
         auto last = std::find_if(first, queue.end(),
                                  [&](const QueuedJob& queued) { return queued.priority != first->priority; });
@@ -93,7 +93,7 @@
     std::vector<double> due;
     for (const config::Objective& objective : context_.settings().objectives) {
         const bool within = objective.withinS > 0;
-        // What is to start in time has to be over one run time later.
+        // An objective for the start of a job makes it due one run time later.
         if (objective.kind == "guarantee" && !overQuota && within)
             due.push_back(objective.withinS + spec.estimatedDurationS);
         if (objective.jobClass != spec.jobClass) continue;
@@ -110,7 +110,7 @@
 void QueueOrder::order_for_machines(std::vector<QueuedJob>& queue, const std::vector<Machine>& machines,
                                     Timestamp now) const {
     CurveByClass curves;
-    double ahead = 0;  // what jobs of earlier groups take of all machines
+    double ahead = 0;  // fraction of the capacity that jobs of earlier groups take
     for (std::size_t first = 0, last; first < queue.size(); first = last) {
         std::vector<DueJob> jobs;
         std::vector<const FreeCapacityCurve*> jobCurves;
@@ -133,7 +133,8 @@
                 curve.total_tasks() ? static_cast<double>(queued.job->open()) / curve.total_tasks() : 0;
             const double waitedS = now.wall - static_cast<double>(queued.job->submittedAtS);
             DueJob dueJob{queued.capacityShare, 0, due_times(spec, queued.overQuota)};
-            for (double& dueS : dueJob.dueTimes) dueS -= spec.estimatedDurationS + waitedS;  // to start by
+            for (double& dueS : dueJob.dueTimes)
+                dueS -= spec.estimatedDurationS + waitedS;  // latest start instead of latest end
             dueJob.dueTimes.push_back(JobAgeing::kGangAgeingLeases * context_.settings().leaseS - waitedS);
             jobs.push_back(std::move(dueJob));
             demand += queued.capacityShare;
--- a/src/scheduling/queued_job.hpp
+++ b/src/scheduling/queued_job.hpp
@@ -1,4 +1,4 @@
-// A job of the queue with what decides its place in the order.
+// A queued job with the attributes that decide its position in the queue.
 #pragma once
 
 #include "state/state_cache.hpp"
@@ -7,9 +7,9 @@
 
 struct QueuedJob {
     state::Job* job = nullptr;
-    int priority = 0;          // a lower number goes first
-    bool overQuota = false;    // does not fit into its team's guarantee
-    bool aged = false;         // has waited for so long that it goes before all others
+    int priority = 0;          // a lower number is a higher priority
+    bool overQuota = false;    // exceeds its team's guarantee
+    bool aged = false;         // goes before all others because of its long wait
     double capacityShare = 0;  // of all machines that it may use: what its open tasks take
 };
 
--- a/src/scheduling/scheduling_planner.cpp
+++ b/src/scheduling/scheduling_planner.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Without changes a new plan is made after the heartbeat interval divided by this.
+// If no input changes, planning is repeated after the heartbeat interval divided by this.
 constexpr double kPlanIntervalDivisor = 6;
 
 }  // namespace
@@ -52,7 +52,7 @@
 bool SchedulingPlanner::starts_locally(const PlannedStart& start) const {
     const bool multiTask = start.tasks.size() > 1;
     if (!multiTask && inputs_.context.leads_host(start.tasks.front().second)) return true;
-    // Gangs and services are placed on hosts of any leader.
+    // The responsible controller places gangs and services, on hosts of any leader.
     return (multiTask || start.job->service()) && inputs_.context.responsible(*start.job);
 }
 
--- a/src/scheduling/scheduling_planner.hpp
+++ b/src/scheduling/scheduling_planner.hpp
@@ -1,8 +1,8 @@
-// Plans which tasks start on which hosts, and writes the starts that are this controller's to make into a transaction.
+// Plans which tasks start on which hosts, and adds the starts that this controller has to make to a transaction.
 //
-// Every controller plans for all hosts; each carries out what falls to it, and the state service lets one of several
-// conflicting starts win. Owns the times of the last plan and of this controller's next turn. Single-threaded, free of
-// I/O.
+// Every controller plans for all hosts and makes only its own part of the starts; of several conflicting ones, the
+// state service accepts one. Keeps the time of the last plan and of this controller's next turn. Not thread-safe; does
+// no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +12,7 @@
 #include "scheduling/plan.hpp"
 #include "scheduling/planning_inputs.hpp"
 #include "state/transaction_builder.hpp"
+#include "workers/host_tracker.hpp"
 
 namespace wellstair::scheduling {
 
@@ -20,23 +21,25 @@
     SchedulingPlanner(const PlanningInputs& inputs, leadership::RoundSchedule& schedule)
         : inputs_(inputs), schedule_(schedule) {}
 
-    // Plans, if anything that a plan depends on has changed or some time has passed; then preempts and starts tasks.
+    // Plans if an input of planning has changed or the plan interval has passed; then preempts tasks and adds the
+    // starts of this controller to the transaction.
     void place(state::TransactionBuilder& builder, Timestamp now);
+    // Computes a plan of the whole cluster for this purpose.
     Plan make_plan(Timestamp now, PlanPurpose purpose);
 
   private:
-    // Planning is the costly part of a round.
+    // Whether to plan now. Planning is the most expensive part of a round, so it is skipped while nothing has changed.
     bool plan_due(std::uint64_t newestJob, Timestamp now) const;
-    // Whether this controller makes the planned start.
+    // Whether this controller, and not a peer, makes the planned start.
     bool starts_locally(const PlannedStart& start) const;
-    // Remembers that a peer is expected to make the start.
+    // Records that a peer is expected to make the start. Only recorded for jobs of one task.
     void expect_start_by_peer(const PlannedStart& start, Timestamp now);
 
     PlanningInputs inputs_;
     leadership::RoundSchedule& schedule_;
-    double plannedAtS_ = -1e9;            // steady time of the last plan
-    double nextTurnS_ = kFarFutureS;      // time of day of the next turn of this controller at some job
-    std::uint64_t newestPlannedJob_ = 0;  // its place in submission order
+    double plannedAtS_ = workers::kNeverS;  // steady time of the last plan
+    double nextTurnS_ = kFarFutureS;        // time of day from which this controller may place a job left to others
+    std::uint64_t newestPlannedJob_ = 0;    // position of the newest job in submission order
 };
 
 }  // namespace wellstair::scheduling
