--- a/src/autoscaling/scale_in_policy.hpp
+++ b/src/autoscaling/scale_in_policy.hpp
@@ -12,6 +12,7 @@
 #include <vector>
 
 #include "autoscaling/cloud_role.hpp"
+#include "common/timestamp.hpp"
 #include "leadership/cancellation_registry.hpp"
 #include "leadership/controller_context.hpp"
 #include "state/transaction_builder.hpp"
@@ -78,7 +79,7 @@
 
     std::vector<wire::Machine> machines_;
     std::map<std::string, double> unownedSinceS_;  // steady time since the leader of the host failed
-    double lastProposalS_ = workers::kNeverS;
+    double lastProposalS_ = kNeverS;
 };
 
 }  // namespace wellstair::autoscaling
--- a/src/common/timestamp.hpp
+++ b/src/common/timestamp.hpp
@@ -4,6 +4,9 @@
 
 namespace wellstair {
 
+// A steady time, in seconds, before every event.
+inline constexpr double kNeverS = -1e9;
+
 struct Timestamp {
     double steady = 0;  // seconds on the steady clock, for durations, leases and timeouts
     double wall = 0;    // seconds since the Unix epoch, for times that other processes read
--- a/src/controller/core.hpp
+++ b/src/controller/core.hpp
@@ -220,7 +220,7 @@
     };
     std::map<std::string, PendingHost> pendingHosts_;  // rented hosts that have not registered yet, by name
     struct Backoff {
-        double untilS = workers::kNeverS;
+        double untilS = kNeverS;
     };
     std::map<std::string, Backoff> backoffs_;                           // after refusals, by offer key
     std::vector<std::pair<wire::JobSpec, std::uint32_t>> unmetDemand_;  // tasks without room: their needs and number
--- a/src/failover/host_failover.hpp
+++ b/src/failover/host_failover.hpp
@@ -11,6 +11,7 @@
 #include <string>
 #include <unordered_map>
 
+#include "common/timestamp.hpp"
 #include "leadership/cancellation_registry.hpp"
 #include "leadership/controller_context.hpp"
 #include "leadership/round_schedule.hpp"
@@ -55,7 +56,7 @@
   private:
     // The newest heartbeat of a redirected worker, and the steady time of its first redirect within a lease.
     struct Redirect {
-        double sinceS = workers::kNeverS;
+        double sinceS = kNeverS;
         std::uint64_t agentEpoch = 0, sequence = 0;
     };
     using ShardSet = std::set<state::HostShard*>;
@@ -84,7 +85,7 @@
     std::unordered_map<std::string, Redirect> redirects_;         // by host
     std::unordered_map<std::string, double> takenOverAtS_;        // by host taken from a live leader: steady time
     std::map<std::string, double> unreachableAtS_;  // by member that a worker could not reach: steady time
-    double lastAcquisitionS_ = workers::kNeverS, lastTransferS_ = workers::kNeverS;
+    double lastAcquisitionS_ = kNeverS, lastTransferS_ = kNeverS;
     // Revision of the members at the last complete acquisition of hosts of failed leaders.
     std::uint64_t acquiredMembersRevision_ = 0;
 };
--- a/src/leadership/controller_context.hpp
+++ b/src/leadership/controller_context.hpp
@@ -12,7 +12,6 @@
 #include "config/settings.hpp"
 #include "state/state_cache.hpp"
 #include "state/states.hpp"
-#include "workers/host_tracker.hpp"
 
 namespace wellstair::leadership {
 
@@ -35,7 +34,7 @@
 
     state::Availability availability() const { return availability_; }
     bool serving() const { return availability_ == state::Availability::serving; }
-    // Steady time at which this process last began to serve, in seconds; workers::kNeverS before it has.
+    // Steady time at which this process last began to serve, in seconds; kNeverS before it has.
     double serving_since() const { return servingSinceS_; }
     void set_availability(state::Availability next, Timestamp now);
 
@@ -62,7 +61,7 @@
     std::unique_ptr<state::StateCache> state_;
     bool stateReady_ = false;
     state::StateMachine<state::Availability, state::AvailabilityTraits> availability_{state::Availability::joining};
-    double servingSinceS_ = workers::kNeverS;
+    double servingSinceS_ = kNeverS;
     Timestamp now_;
 };
 
--- a/src/leadership/state_limit_policy.hpp
+++ b/src/leadership/state_limit_policy.hpp
@@ -8,6 +8,7 @@
 #include <string>
 #include <vector>
 
+#include "common/timestamp.hpp"
 #include "leadership/controller_context.hpp"
 #include "leadership/round_schedule.hpp"
 #include "leadership/shard_assignment.hpp"
@@ -52,7 +53,7 @@
     // The state service has refused a transaction that its current limits allow.
     bool announcedLimitsInEffect_ = false;
     std::map<std::string, double> rejectedKeysUntilS_;  // by key: steady time
-    double lastSplitS_ = workers::kNeverS;
+    double lastSplitS_ = kNeverS;
 };
 
 }  // namespace wellstair::leadership
--- a/src/net/time.hpp
+++ b/src/net/time.hpp
@@ -10,9 +10,6 @@
 
 namespace asio = boost::asio;
 
-// A steady time before every event, in seconds: the initial value of "last seen at" fields.
-inline constexpr double kNeverS = -1e9;
-
 // Returns the time on the steady clock, in seconds.
 double steady_now();
 
--- a/src/peers/peer_table.hpp
+++ b/src/peers/peer_table.hpp
@@ -11,12 +11,9 @@
 
 namespace wellstair::peers {
 
-// A steady time in seconds that lies before every event.
-inline constexpr double kNeverReceivedS = -1e9;
-
 struct ReceivedStatus {
     PeerStatus status;
-    double receivedAtS = kNeverReceivedS;  // steady time
+    double receivedAtS = kNeverS;  // steady time
 
     // In seconds.
     double age(Timestamp now) const { return now.steady - receivedAtS; }
--- a/src/reconciliation/job_history.hpp
+++ b/src/reconciliation/job_history.hpp
@@ -10,16 +10,15 @@
 
 #include "common/timestamp.hpp"
 #include "state/state_cache.hpp"
-#include "workers/host_tracker.hpp"
 
 namespace wellstair::reconciliation {
 
 // Times are seconds on the steady clock.
 struct JobHistory {
-    std::set<std::string> failedOn;          // hosts on which tasks of the job have failed
-    int failures = 0;                        // failed tasks, or for a service, ends of its replicas in a row
-    double notBeforeS = workers::kNeverS;    // no task of the job is started before this time
-    double lastFailureS = workers::kNeverS;  // last end of a replica; only kept for services
+    std::set<std::string> failedOn;  // hosts on which tasks of the job have failed
+    int failures = 0;                // failed tasks, or for a service, ends of its replicas in a row
+    double notBeforeS = kNeverS;     // no task of the job is started before this time
+    double lastFailureS = kNeverS;   // last end of a replica; only kept for services
 };
 
 class JobHistories {
--- a/src/reconciliation/task_failure_recorder.cpp
+++ b/src/reconciliation/task_failure_recorder.cpp
@@ -5,12 +5,13 @@
 #include <algorithm>
 #include <cmath>
 
+#include "common/timestamp.hpp"
+
 namespace wellstair::reconciliation {
 
 using state::Job;
 using wire::Cause;
 using workers::HostTracker;
-using workers::kNeverS;
 using workers::ObservedTask;
 using workers::TaskKey;
 
--- a/src/scheduling/demand_history.hpp
+++ b/src/scheduling/demand_history.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <utility>
 
+#include "common/timestamp.hpp"
 #include "leadership/controller_context.hpp"
 #include "placement/lem.hpp"
-#include "workers/host_tracker.hpp"
 
 namespace wellstair::scheduling {
 
@@ -54,7 +54,7 @@
     // Maximum that one job needs at once: all tasks of a gang or service, one task of a batch.
     struct JobNeed {
         double cores = 0, gpus = 0;
-        double lastSeenS = workers::kNeverS;  // steady time
+        double lastSeenS = kNeverS;  // steady time
     };
 
     const leadership::ControllerContext& context_;
--- a/src/scheduling/scheduling_planner.hpp
+++ b/src/scheduling/scheduling_planner.hpp
@@ -12,7 +12,6 @@
 #include "scheduling/plan.hpp"
 #include "scheduling/planning_inputs.hpp"
 #include "state/transaction_builder.hpp"
-#include "workers/host_tracker.hpp"
 
 namespace wellstair::scheduling {
 
@@ -37,9 +36,9 @@
 
     PlanningInputs inputs_;
     leadership::RoundSchedule& schedule_;
-    double plannedAtS_ = workers::kNeverS;  // steady time of the last plan
-    double nextTurnS_ = kFarFutureS;        // time of day from which this controller may place a job left to others
-    std::uint64_t newestPlannedJob_ = 0;    // position of the newest job in submission order
+    double plannedAtS_ = kNeverS;         // steady time of the last plan
+    double nextTurnS_ = kFarFutureS;      // time of day from which this controller may place a job left to others
+    std::uint64_t newestPlannedJob_ = 0;  // position of the newest job in submission order
 };
 
 }  // namespace wellstair::scheduling
--- a/src/service/cloud_loop.hpp
+++ b/src/service/cloud_loop.hpp
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "cloud/client.hpp"
+#include "common/timestamp.hpp"
 #include "service/availability_monitor.hpp"
 #include "service/committer.hpp"
 #include "service/loop_context.hpp"
 #include "service/membership_loop.hpp"
 #include "service/read_barrier.hpp"
-#include "workers/host_tracker.hpp"
 
 namespace wellstair::service {
 
@@ -53,7 +53,7 @@
     AvailabilityMonitor& availability_;
     ReadBarrier& readBarrier_;
     Committer& committer_;
-    double lastTypesReadS_ = workers::kNeverS, lastMachinesReadS_ = workers::kNeverS;  // steady clock
+    double lastTypesReadS_ = kNeverS, lastMachinesReadS_ = kNeverS;  // steady clock
     std::uint64_t rentRequestCount_ = 0;
 };
 
--- a/src/service/membership_loop.hpp
+++ b/src/service/membership_loop.hpp
@@ -1,7 +1,7 @@
 // Maintains this controller's membership: a lease of the state service, and the member key attached to it. The key is
 // removed when the lease expires, which tells the other controllers that this process is gone.
 // Owns the id of the lease. One io_context thread.
-// Errors: a failed request is retried after a short pause; an expired lease is replaced by a new one.
+// Errors: a failed request is retried after a short, random pause; an expired lease is replaced by a new one.
 #pragma once
 
 #include <cstdint>
--- a/src/service/peer_status_exchange.hpp
+++ b/src/service/peer_status_exchange.hpp
@@ -9,11 +9,11 @@
 #include <map>
 #include <string>
 
+#include "common/timestamp.hpp"
 #include "leadership/cancellation_read_barrier.hpp"
 #include "peers/packet.hpp"
 #include "service/loop_context.hpp"
 #include "store/client.hpp"
-#include "workers/host_tracker.hpp"
 
 namespace wellstair::service {
 
@@ -37,7 +37,7 @@
     leadership::CancellationReadBarrier cancellationBarrier_;
     std::map<std::string, std::uint64_t> newestRequests_;  // request numbers, by member
     peers::PeerStatus ownStatus_;
-    double ownStatusBuiltS_ = workers::kNeverS;  // steady clock
+    double ownStatusBuiltS_ = kNeverS;  // steady clock
 };
 
 }  // namespace wellstair::service
--- a/src/service/state_reader.hpp
+++ b/src/service/state_reader.hpp
@@ -6,10 +6,10 @@
 
 #include <cstdint>
 
+#include "common/timestamp.hpp"
 #include "service/loop_context.hpp"
 #include "state/transaction_builder.hpp"
 #include "store/client.hpp"
-#include "workers/host_tracker.hpp"
 
 namespace wellstair::service {
 
@@ -45,7 +45,7 @@
 
     LoopContext context_;
     store::Client& store_;
-    double lastReadS_ = workers::kNeverS;
+    double lastReadS_ = kNeverS;
     std::uint64_t loadCount_ = 0;
 };
 
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "common/timestamp.hpp"
 #include "net/http.hpp"
-#include "net/time.hpp"
 #include "store/rate_limiter.hpp"
 #include "wire/codec.hpp"
 
@@ -57,7 +57,7 @@
     Kind kind = Kind::failed;
     std::uint64_t revision = 0;
     std::vector<Change> changes;
-    double sentS = net::kNeverS;  // steady time of sending the request; the result is at least as recent
+    double sentS = kNeverS;  // steady time of sending the request; the result is at least as recent
 };
 
 // Returns the result's name for logging.
@@ -95,7 +95,7 @@
     // Extends a lease by its time to live.
     asio::awaitable<Renewal> renew(std::uint64_t leaseId, double timeoutS);
 
-    // Returns the steady time at which the latest answered request was sent, in seconds; net::kNeverS before the first.
+    // Returns the steady time at which the latest answered request was sent, in seconds; kNeverS before the first.
     // Replies that report the service as unavailable do not count.
     double last_contact() const { return lastContactS_; }
 
@@ -113,7 +113,7 @@
     // Long polls have a client of their own: a failed request closes the idle connections of its client only.
     net::HttpClient longPoll_;
     RateLimiter requests_, writes_;
-    double lastContactS_ = net::kNeverS;
+    double lastContactS_ = kNeverS;
 };
 
 // Returns the outcome's name for logging.
--- a/src/workers/host_tracker.hpp
+++ b/src/workers/host_tracker.hpp
@@ -10,14 +10,13 @@
 #include <set>
 #include <string>
 
+#include "common/timestamp.hpp"
 #include "state/states.hpp"
 #include "wire/messages.hpp"
 #include "workers/worker_lease.hpp"
 
 namespace wellstair::workers {
 
-// Seconds on the steady clock, earlier than any event.
-inline constexpr double kNeverS = -1e9;
 // Consecutive heartbeat responses that did not reach a host, from which on it counts as unreachable.
 inline constexpr int kMissedAnswersUntilUnreachable = 2;
 
