--- a/src/service/cloud_loop.hpp
+++ b/src/service/cloud_loop.hpp
@@ -1,8 +1,8 @@
-// The calls to the cloud, by the one controller that holds the cloud role: machine types, the list of machines, scale
-// in and scale out. Owns when types and list were last read, and the numbering of requests for machines.
-// One io_context thread. Whether the role is still held is judged before each call, which may take seconds.
-// Errors: a call that fails is made again in a later turn of the loop; a request for machines is repeated once under
-// the same name, by which the cloud knows it as the same request.
+// Calls the cloud API while this controller holds the cloud role: machine types, machine list, scale-in and scale-out.
+// Owns the times of the last reads, and the counter for the ids of rent requests.
+// One io_context thread. A call may take seconds, so the role is checked again before each one.
+// Errors: a failed call is repeated in a later iteration of the loop. A rent request is retried once with the same id,
+// by which the cloud recognises the duplicate.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "cloud/client.hpp"
+#include "common/timestamp.hpp"
 #include "service/availability_monitor.hpp"
 #include "service/committer.hpp"
 #include "service/loop_context.hpp"
@@ -29,12 +30,13 @@
           readBarrier_(readBarrier),
           committer_(committer) {}
 
-    // Takes the role when it is free and does its work, for ever.
+    // Acquires the role when it is free, and performs its calls while it is held. Never returns.
     asio::awaitable<void> run();
 
   private:
+    // Re-evaluates the availability and returns whether this controller may call the cloud now.
     bool may_call();
-    asio::awaitable<void> take_role();
+    asio::awaitable<void> acquire_role();
     asio::awaitable<void> refresh_types(double nowS);
     asio::awaitable<void> write_types(std::vector<wire::MachineType> types);
     asio::awaitable<void> refresh_machines(double nowS);
@@ -42,7 +44,8 @@
     asio::awaitable<void> scale_out();
     asio::awaitable<cloud::RentResult> rent(controller::ScaleOutRequest request);
     asio::awaitable<void> commit(state::TransactionBuilder builder);
-    std::string next_request_name();
+    // An id for a rent request that no process of any controller uses a second time.
+    std::string next_request_id();
 
     LoopContext context_;
     cloud::Client& cloud_;
@@ -50,8 +53,8 @@
     AvailabilityMonitor& availability_;
     ReadBarrier& readBarrier_;
     Committer& committer_;
-    double typesReadS_ = -1e9, machinesReadS_ = -1e9;  // steady clock
-    std::uint64_t rentRequests_ = 0;
+    double lastTypesReadS_ = kNeverS, lastMachinesReadS_ = kNeverS;  // steady clock
+    std::uint64_t rentRequestCount_ = 0;
 };
 
 }  // namespace wellstair::service
